--- a/scripts/soak_fleet.py
+++ b/scripts/soak_fleet.py
@@ -38,6 +38,10 @@
     def daemons(self):
         return self.cores + self.routers
 
+    def binary_of(self, _daemon):
+        """The program that a process runs."""
+        return self.binary
+
     async def control(self, method, path, body=None, headers=(), patience=15.0):
         """A call of the operator: sent to any core until its answer is clear; 0 if it never is."""
         end, core = time.monotonic() + patience, self.random.choice(self.cores)
--- a/scripts/soak_processes.py
+++ b/scripts/soak_processes.py
@@ -41,7 +41,7 @@
         self.trouble()
         with open(os.path.join(self.fleet.folder, self.name + ".log"), "ab") as log:
             self.process = subprocess.Popen(
-                [self.fleet.binary, "node", "--settings", self.settings, "--counters-every", "5"],
+                [self.fleet.binary_of(self), "node", "--settings", self.settings, "--counters-every", "5"],
                 stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
     def trouble(self):
