--- a/src/core/collaborators.h
+++ b/src/core/collaborators.h
@@ -1,6 +1,7 @@
 #pragma once
-/// What each part of a control machine refers to. An assignment of a part copies its state and
-/// keeps these references, so that a machine's state can be copied into another machine.
+/// Base classes that hold the references of each control module to other modules. Copy assignment
+/// of a module copies its state and keeps these references, so that a node's state can be copied
+/// into another node.
 #include <functional>
 
 #include "core/random.h"
--- a/src/core/control_changes.cc
+++ b/src/core/control_changes.cc
@@ -17,11 +17,11 @@
   parameters.update(tenant.at("parameters"));
   for (const char* needed : {"rank", "wall"})
     if (!parameters.contains(needed))
-      return invalid(place + "[parameters][" + needed + "]", "is needed and has no default");
+      return invalid(place + "[parameters][" + needed + "]", "is required and has no default");
   if (parameters.value("weights", std::uint64_t{0}) > named)
-    return invalid(place + "[parameters][weights]", "is above the weights named so far");
+    return invalid(place + "[parameters][weights]", "is above the current weights version");
   if (parameters.value("topRung", std::size_t{0}) >= setup.at("rungs").size())
-    return invalid(place + "[parameters][topRung]", "there is no such rung");
+    return invalid(place + "[parameters][topRung]", "is not the index of a rung");
   return std::nullopt;
 }
 
@@ -29,16 +29,17 @@
   const Json& rungs = setup.at("rungs");
   for (std::size_t index = 1; index < rungs.size(); ++index)
     if (rungs[index]["rate"].get<double>() <= rungs[index - 1]["rate"].get<double>())
-      return invalid("[rungs][" + std::to_string(index) + "][rate]", "must rise rung by rung");
+      return invalid("[rungs][" + std::to_string(index) + "][rate]",
+                     "must be above the rate of the rung before it");
   for (const auto& [name, entry] : setup.at("classes").items()) {
     if (entry["floor"].get<std::size_t>() >= rungs.size())
-      return invalid("[classes][" + name + "][floor]", "there is no such rung");
+      return invalid("[classes][" + name + "][floor]", "is not the index of a rung");
     if (entry["a"].get<double>() * entry["b"].get<double>() <= 0)
-      return invalid("[classes][" + name + "][a]", "worth must rise with the rate: a*b > 0");
+      return invalid("[classes][" + name + "][a]", "worth must increase with the rate: a*b > 0");
   }
   for (const auto& [name, entry] : setup.at("templates").items())
     if (!setup["classes"].contains(entry["class"].get<std::string>()))
-      return invalid("[templates][" + name + "][class]", "there is no such class");
+      return invalid("[templates][" + name + "][class]", "unknown class");
   for (const auto& [id, tenant] : setup.at("tenants").items())
     if (auto wrong = checkTenant(setup, id, tenant, named)) return wrong;
   return std::nullopt;
@@ -48,7 +49,7 @@
   for (const auto& digest : digests) {
     std::string text = digest;
     if (keys["withdrawn"].contains(text))
-      return invalid("[keys]", "a withdrawn key never comes back; make a new one");
+      return invalid("[keys]", "a withdrawn key cannot be restored; create a new one");
     if (keys["live"].contains(text) && keys["live"][text] != tenant)
       return invalid("[keys]", "the key belongs to another tenant");
     keys["live"][text] = tenant;
@@ -57,7 +58,7 @@
 }
 
 std::optional<ChangeReply> applySetup(Json& body, const Json& change) {
-  if (!change.contains("setup")) return invalid("[setup]", "is needed");
+  if (!change.contains("setup")) return invalid("[setup]", "is required");
   Json setup = change["setup"];
   if (!setup.contains("tenants")) setup["tenants"] = Json::object();
   std::uint64_t named = body["weights"]["version"];
@@ -73,7 +74,7 @@
 
 std::optional<ChangeReply> applyStamp(Json& body, const Json& change) {
   for (const char* needed : {"template", "tenant", "parameters"})
-    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is needed");
+    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is required");
   std::string id = change["tenant"];
   Json tenant = {{"template", change["template"]}, {"parameters", change["parameters"]}};
   std::uint64_t named = body["weights"]["version"];
@@ -86,18 +87,18 @@
 }
 
 std::optional<ChangeReply> applyTemplate(Json& body, const Json& change) {
-  // One template anew, or changed; every tenant stamped from it has to fit it still.
+  // Adds or replaces one template; every tenant created from it must remain valid.
   for (const char* needed : {"template", "made"})
-    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is needed");
+    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is required");
   body["setup"]["templates"][change["template"].get<std::string>()] = change["made"];
   return checkSetup(body["setup"], body["weights"]["version"]);
 }
 
 std::optional<ChangeReply> applyParameters(Json& body, const Json& change) {
-  // Some of one tenant's parameters; the others stay as they are.
+  // Updates the given parameters of one tenant and keeps the others.
   std::string id = change.value("tenant", "");
-  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "there is no such tenant");
-  if (!change.contains("parameters")) return invalid("[parameters]", "is needed");
+  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "unknown tenant");
+  if (!change.contains("parameters")) return invalid("[parameters]", "is required");
   Json& tenant = body["setup"]["tenants"][id];
   tenant["parameters"].update(change["parameters"]);
   Json digests = tenant["parameters"].value("keys", Json::array());
@@ -107,7 +108,8 @@
 }
 
 std::optional<ChangeReply> applyRevert(Json& body, const Json& change) {
-  // An earlier setup as a new version. Keys stay as they are: a withdrawn one never comes back.
+  // Installs an earlier setup as a new version. Keys are not reverted: a withdrawn key must never
+  // become valid again.
   std::string wanted = change.value("to", "");
   std::string known;
   for (const auto& earlier : body.value("earlier", Json::array())) {
@@ -117,12 +119,13 @@
     }
     known += (known.empty() ? "" : ", ") + earlier["version"].get<std::string>();
   }
-  return invalid("[to]", known.empty() ? "no earlier setup is kept" : "kept are " + known);
+  return invalid("[to]",
+                 known.empty() ? "no earlier setup is stored" : "stored versions: " + known);
 }
 
 std::optional<ChangeReply> applyRemove(Json& body, const Json& change) {
   std::string id = change.value("tenant", "");
-  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "there is no such tenant");
+  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "unknown tenant");
   body["setup"]["tenants"].erase(id);
   for (auto& [digest, owner] : body["keys"]["live"].items())
     if (owner == id) body["keys"]["withdrawn"][digest] = true;
@@ -132,7 +135,7 @@
 }
 
 std::optional<ChangeReply> applyWeights(Json& body, const Json& change) {
-  if (!change.contains("label")) return invalid("[label]", "is needed");
+  if (!change.contains("label")) return invalid("[label]", "is required");
   std::uint64_t named = body["weights"]["version"];
   body["weights"]["version"] = named + 1;
   body["weights"]["label"] = change["label"];
@@ -141,11 +144,11 @@
 
 std::optional<ChangeReply> applyModelVersion(Json& body, const Json& change) {
   for (const char* needed : {"model", "version"})
-    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is needed");
+    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is required");
   std::string model = change["model"];
   auto wanted = change["version"].get<std::uint64_t>();
   Json models = body["weights"].value("models", Json::object());
-  // A model that was never named has version 1; versions only rise.
+  // A model without an entry has version 1; versions only increase.
   if (wanted <= models.value(model, std::uint64_t{1})) return std::nullopt;
   models[model] = wanted;
   body["weights"]["models"] = std::move(models);
@@ -153,16 +156,16 @@
 }
 
 std::optional<ChangeReply> applyKeyAdd(Json& body, const Json& change) {
-  if (!change.contains("digest")) return invalid("[digest]", "is needed");
+  if (!change.contains("digest")) return invalid("[digest]", "is required");
   std::string id = change.value("tenant", "");
-  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "there is no such tenant");
+  if (!body["setup"]["tenants"].contains(id)) return invalid("[tenant]", "unknown tenant");
   return addKeys(body["keys"], id, Json::array({change["digest"]}));
 }
 
 std::optional<ChangeReply> applyKeyWithdraw(Json& body, const Json& change) {
-  if (!change.contains("digest")) return invalid("[digest]", "is needed");
+  if (!change.contains("digest")) return invalid("[digest]", "is required");
   std::string digest = change["digest"];
-  // A key never heard of is withdrawn all the same: the yes holds for it from now on.
+  // An unknown key is withdrawn as well, so that it cannot be added after the acknowledgement.
   body["keys"]["live"].erase(digest);
   body["keys"]["withdrawn"][digest] = true;
   return std::nullopt;
@@ -202,7 +205,6 @@
   return row == kKinds.end() ? nullptr : row->applier;
 }
 
-/// What a change would do, as patches of each section; keys are told by number only.
 std::string whatWouldChange(const Json& before, const Json& after) {
   Json told{
       {"setup", Json::diff(before["setup"], after["setup"])},
@@ -211,7 +213,7 @@
       {"withdrawnKeys", {before["keys"]["withdrawn"].size(), after["keys"]["withdrawn"].size()}}};
   std::string text = told.dump();
   if (text.size() > 64 << 10) {
-    told["setup"] = std::to_string(told["setup"].size()) + " steps, too many to show";
+    told["setup"] = std::to_string(told["setup"].size()) + " patch operations, too many to show";
     text = told.dump();
   }
   return text;
--- a/src/core/control_changes.h
+++ b/src/core/control_changes.h
@@ -1,5 +1,5 @@
 #pragma once
-// What each kind of an operator's change does to the sections of the control state.
+// How each kind of operator change edits the sections of the control state.
 #include <optional>
 #include <string>
 #include <string_view>
@@ -9,18 +9,17 @@
 
 namespace peppergate {
 
-/// Changes a draft of the sections; what it returns is a fault, if any.
+/// Edits a draft of the sections. Returns the rejection if the change is invalid.
 using Applier = std::optional<ChangeReply> (*)(Json& body, const Json& change);
 
-/// The applier of a kind; none for those that change the fleet's configuration.
-/// Example: `applierOf("key-add")(draft, change)`.
+/// Returns the applier for a kind of change; null for kinds that change the fleet's configuration.
 Applier applierOf(std::string_view kind);
-/// An answer that is no yes. Example: `faultAnswer(ChangeOutcome::kTooLarge, "<root>", "...")`.
+/// Builds a reply with an outcome other than kDone.
 ChangeReply faultAnswer(ChangeOutcome outcome, std::string field, std::string detail);
-/// The answer to a change with a wrong field. Example: `invalid("[setup]", "is needed")`.
+/// Builds the reply to a change with an invalid field; `field` is its path, such as "[setup]".
 ChangeReply invalid(std::string field, std::string detail);
-/// What a change would do, as patches of each section; keys are told by number only.
-/// Example: `whatWouldChange(before, draft)`.
+/// Describes the effect of a dry run: JSON patches of the setup and weights sections. Keys are
+/// secrets, so only their counts are reported.
 std::string whatWouldChange(const Json& before, const Json& after);
 
 }  // namespace peppergate
--- a/src/core/control_fault_injection.h
+++ b/src/core/control_fault_injection.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Faults that tests and the model checker put into the control code, to show that they would be
-/// found. All are off; no flag or settings file of a daemon can switch one on.
+/// Faults that tests and the model checker inject into the control code, to prove that they would
+/// be detected. All are off by default; no flag or settings file of a daemon can enable one.
 #include <absl/status/statusor.h>
 
 #include <algorithm>
@@ -14,21 +14,21 @@
 
 enum class ControlFault : std::uint8_t {
   kMajorityOffByOne,         ///< half of the voters count as a majority
-  kLeaseNotWaitedOut,        ///< an acceptor grants a lease while another one still runs
-  kSyncSkipped,              ///< answers are given before the write behind them is done
-  kCopyTagIgnored,           ///< a machine with any copy of the state may lead
-  kRememberedOrdersDropped,  ///< a replica forgets the orders that were taken before its snapshot
-  kOneMajorityOfVoters,      ///< new voters are settled without a majority of the old ones
-  kTailShown,                ///< a leader shows a state before its view is confirmed
-  kFormerVotersIgnored,      ///< a view that may not be settled is followed by its voters alone
-  kLeaverEndsEarly,          ///< a machine that leaves doesn't wait until its duties are others'
+  kLeaseNotWaitedOut,        ///< an acceptor grants a lease before the previous one expired
+  kSyncSkipped,              ///< replies are sent before the write they depend on is synced
+  kCopyTagIgnored,           ///< a machine with an outdated replica may lead
+  kRememberedOrdersDropped,  ///< a replica drops the deduplication records of its snapshot
+  kOneMajorityOfVoters,      ///< new voters are adopted without a majority of the old ones
+  kTailShown,                ///< a leader exposes state before its view is confirmed
+  kFormerVotersIgnored,      ///< an unsettled view is succeeded with its own voters alone
+  kLeaverEndsEarly,          ///< a leaving machine exits before its roles are handed over
 };
 inline constexpr std::array<std::string_view, 9> kControlFaultNames{
     "majority-off-by-one", "lease-not-waited-out",      "sync-skipped",
     "copy-tag-ignored",    "remembered-orders-dropped", "one-majority-of-voters",
     "tail-shown",          "former-voters-ignored",     "leaver-ends-early"};
 
-/// The fault with this name; NotFound for an unknown one.
+/// Returns the fault with this name, or NotFound.
 inline absl::StatusOr<ControlFault> controlFaultNamed(std::string_view name) {
   auto found = std::ranges::find(kControlFaultNames, name);
   if (found == kControlFaultNames.end())
@@ -36,7 +36,7 @@
   return static_cast<ControlFault>(found - kControlFaultNames.begin());
 }
 
-/// The faults that are on in one machine; a value, part of its settings.
+/// The set of faults that are enabled in one machine; a value type, part of its options.
 class ControlFaultInjection {
  public:
   void set(ControlFault fault) { on_ |= bit(fault); }
--- a/src/core/control_state.cc
+++ b/src/core/control_state.cc
@@ -12,12 +12,12 @@
 
 bool changesFleet(std::string_view kind) { return kind == "replace" || kind == "amend"; }
 
-/// Whether a change of this kind that was taken once is taken at any later time as well.
+/// Whether a change of this kind that was accepted once would be accepted at any later time, too.
 bool neverRefused(std::string_view kind) {
   return kind == "model-version" || kind == "key-withdraw";
 }
 
-/// The number of the configuration that an order brings; none if it brings none.
+/// The version of the fleet's configuration that a change carries, if it carries one.
 std::optional<ConfigVersion> numberOf(std::string_view kind, const Json& change) {
   if (!changesFleet(kind)) return std::nullopt;
   auto part = change.find(kind == "replace" ? "config" : "amendment");
@@ -40,7 +40,7 @@
   return SectionVersion{{std::stoull(text.substr(0, dot))}, {std::stoull(text.substr(dot + 1))}};
 }
 
-/// How many items of a list a configuration has. Example: `countOf(config, "routes")`.
+/// The length of one list of a configuration, such as "routes".
 std::size_t countOf(const std::shared_ptr<const Json>& config, const char* list) {
   if (!config) return 0;
   auto found = config->find(list);
@@ -64,7 +64,8 @@
 }
 
 void ControlState::joinSetup() {
-  // The configuration stands last in the section, so that each of the two is written out alone.
+  // The configuration is the last field of the section, so that the setup and the configuration can
+  // be serialized independently of each other.
   setupText_ = bareSetupText_;
   if (!fleet_) return;
   std::string joined;
@@ -104,7 +105,7 @@
 absl::StatusOr<ControlState> ControlState::parse(const std::string& text) {
   Json document = Json::parse(text, nullptr, false);
   if (document.is_discarded() || !document.is_object())
-    return absl::DataLossError("control state is no JSON object");
+    return absl::DataLossError("control state is not a JSON object");
   ControlState state;
   try {
     fromJson(document.at("version"), state.version_);
@@ -164,15 +165,16 @@
 std::optional<ChangeReply> ControlState::checkBase(const std::string& kind,
                                                    const Json& change) const {
   bool namesBase = change.contains("basedOn");
-  // A key's withdrawal is never declined as stale, a model's version only rises, and the fleet's
-  // configuration has versions of its own; everything else names what it builds on.
+  // Key changes are never rejected as stale, a model's version only increases, and the fleet's
+  // configuration has its own versions. Every other kind must name the version it is based on.
   bool needsBase = !kind.starts_with("key") && !changesFleet(kind) && kind != "model-version";
-  if (needsBase && !namesBase) return invalid("[basedOn]", "is needed for kind " + kind);
+  if (needsBase && !namesBase) return invalid("[basedOn]", "is required for kind " + kind);
   if (!namesBase) return std::nullopt;
   auto base = parseVersion(change["basedOn"]);
   const SectionVersion& current = baseOf(kind);
   if (base && *base == current) return std::nullopt;
-  return faultAnswer(ChangeOutcome::kStale, "[basedOn]", "the newest is " + versionText(current));
+  return faultAnswer(ChangeOutcome::kStale, "[basedOn]",
+                     "the current version is " + versionText(current));
 }
 
 std::optional<ChangeReply> ControlState::changeSections(const std::string& kind,
@@ -199,13 +201,14 @@
 std::optional<ChangeReply> ControlState::changeFleet(const std::string& kind, Json& change) {
   const char* part = kind == "replace" ? "config" : "amendment";
   for (const char* needed : {"basedOnVersion", part})
-    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is needed");
+    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is required");
   Json& given = change[part];
-  // The very configuration that is in place, sent once more, is no second change.
+  // Replacing the configuration by an identical one changes nothing.
   if (kind == "replace" && fleet_ && given == *fleet_) return std::nullopt;
   if (change["basedOnVersion"].get<std::uint64_t>() != fleetVersion_.value) {
-    ChangeReply stale = faultAnswer(ChangeOutcome::kStale, "[basedOnVersion]",
-                                    "the newest is " + std::to_string(fleetVersion_.value));
+    ChangeReply stale =
+        faultAnswer(ChangeOutcome::kStale, "[basedOnVersion]",
+                    "the current version is " + std::to_string(fleetVersion_.value));
     stale.newest = fleetVersion_.value;
     return stale;
   }
@@ -226,7 +229,7 @@
 
 std::string ControlState::wouldBecome(const ControlState& next) const {
   if (next.fleet_ == fleet_) return whatWouldChange(*body_, *next.body_);
-  // Keys stand in the configuration, so only numbers are told.
+  // The configuration contains keys, so only versions and list lengths are reported.
   Json told{{"version", {fleetVersion_.value, next.fleetVersion_.value}}};
   for (const char* list : {"routes", "services", "tenants"})
     told[list] = {countOf(fleet_, list), countOf(next.fleet_, list)};
@@ -236,11 +239,11 @@
 ChangeReply ControlState::apply(const std::string& change, const std::string& changeId, Epoch epoch,
                                 const Options& options) {
   if (const SectionVersion* version = remembered_->find(changeId))
-    return done(*version);  // a repeated command is no second change
+    return done(*version);  // a repeated change is not applied again
   if (change.size() > static_cast<std::size_t>(options.largestSetup))
-    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the change is above the limit");
+    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the change exceeds the size limit");
   Json document = parseDocument(change);
-  if (document.is_discarded()) return invalid("<root>", "is no JSON, or nested too deep");
+  if (document.is_discarded()) return invalid("<root>", "is not JSON or is nested too deeply");
   if (auto wrong = checkSchema(SchemaName::kChange, document))
     return invalid(wrong->field, wrong->detail);
   std::string kind = document["kind"];
@@ -261,19 +264,21 @@
 ChangeReply ControlState::judged(const std::string& kind, const Json& change,
                                  ChangeReply refusal) const {
   if (!mayBeForgotten(kind, change)) return refusal;
-  return faultAnswer(ChangeOutcome::kLost, refusal.field,
-                     "it may have been taken before what is remembered; " + refusal.detail);
+  return faultAnswer(
+      ChangeOutcome::kLost, refusal.field,
+      "it may have been applied earlier, beyond the remembered changes; " + refusal.detail);
 }
 
 bool ControlState::mayBeForgotten(const std::string& kind, const Json& change) const {
   const ForgottenChanges& forgotten = remembered_->forgotten();
   if (forgotten.version == SectionVersion{}) return false;
   if (auto number = numberOf(kind, change)) {
-    // An order on the newest configuration was never taken: the versions never come back to it.
+    // A change based on the current configuration was never applied: versions only increase, so its
+    // base would no longer be current.
     const bool onNewest = change.value("basedOnVersion", std::uint64_t{0}) == fleetVersion_.value;
     return !onNewest && *number <= forgotten.config;
   }
-  if (kind == "key-add") {  // only a key that was live once may have been added by a taken order
+  if (kind == "key-add") {  // only a key that is withdrawn by now may have been added before
     const Json& withdrawn = body_->at("keys").at("withdrawn");
     return withdrawn.contains(change.value("digest", ""));
   }
@@ -286,14 +291,14 @@
   const std::size_t limit = 2 * static_cast<std::size_t>(options.largestSetup);
   while (!next.earlier_.empty() && next.size() > limit) next.earlier_.erase(next.earlier_.begin());
   if (next.size() > limit)
-    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the state would be above the limit");
+    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the state would exceed the size limit");
   const SectionVersion newVersion{epoch, {version_.sequence.value + 1}};
   if (*next.setupText_ != *setupText_) next.sections_.setup = newVersion;
   if (*next.keysText_ != *keysText_) next.sections_.keys = newVersion;
   if (*next.weightsText_ != *weightsText_) next.sections_.weights = newVersion;
   next.version_ = newVersion;
-  // An order that changed no section is remembered all the same, for it was acknowledged; its
-  // acknowledgement names the version that is in force already.
+  // A change that modified no section is recorded as well, because it is acknowledged; the
+  // acknowledgement names the version that is already in force.
   change.version = next.sameSections(*this) ? inForce() : newVersion;
   *this = std::move(next);
   if (remembered_.use_count() > 1) remembered_ = std::make_shared<RememberedChanges>(*remembered_);
--- a/src/core/control_state.h
+++ b/src/core/control_state.h
@@ -1,5 +1,6 @@
 #pragma once
-// The fleet's control state: setup, keys, weights; changed only through checked changes.
+// The fleet's replicated control state: setup, keys and weights. It is modified only by validated
+// changes.
 #include <absl/status/statusor.h>
 
 #include <map>
@@ -17,103 +18,103 @@
 
 namespace peppergate {
 
-/// One rung at which parts may be fetched. Example: `{"name":"half","rate":8}`.
+/// One step of the ladder of rates at which prefix blocks may be fetched.
 struct Rung {
   std::string name;
   double rate = 1;  // megabytes a second
 };
 
-/// A tenant class: how worth grows with the rate, and its lowest rung.
+/// A tenant class: its utility as a function of the fetch rate, and its lowest rung.
 struct TenantClass {
-  double a = -0.8, b = -0.5, c = 1;  // worth = a * rate^b + c
-  std::int64_t floor = 0;            // index of the lowest rung
+  double a = -0.8, b = -0.5, c = 1;  // utility = a * rate^b + c
+  std::int64_t floor = 0;            // index of the lowest permitted rung
 };
 
 struct Tenant {
   std::string templateName;
   std::string className;
-  std::int64_t rank = 1;  // 0 is shed last
+  std::int64_t rank = 1;  // load shedding order: 0 is shed last
   Wall wall;
-  WeightsVersion weights;  // the least version this tenant may run on
+  WeightsVersion weights;  // minimum version that may serve this tenant
   std::int64_t topRung = 3;
-  std::int64_t share = 0;  // most streams at once in one front; 0: no bound of its own
+  std::int64_t share = 0;  // concurrent streams per router; 0: no limit per tenant
 };
 
-/// What a daemon reads out of the setup section.
+/// The parsed setup section.
 struct Setup {
   std::vector<Rung> rungs;
   std::map<std::string, TenantClass> classes;
   std::map<TenantId, Tenant> tenants;
   double partBytesPerCharacter = 1000;
-  FleetConfig fleet;  // routes, services, tenants with keys; empty until one was taken
+  FleetConfig fleet;  // routes, services, tenants with keys; empty until one is set
 };
 
-/// What a daemon reads out of the keys section.
+/// The parsed keys section.
 struct Keys {
   std::map<KeyDigest, TenantId> live;
   std::set<KeyDigest> withdrawn;
 };
 
-/// What a daemon reads out of the weights section.
+/// The parsed weights section.
 struct Weights {
   WeightsVersion version;
   std::string label;
-  std::map<ModelName, WeightsVersion> models;  // as named; a model not here has version 1
+  std::map<ModelName, WeightsVersion> models;  // a model without an entry has version 1
 };
 
-/// Reads a setup section; empty text gives an empty setup. Example: `readSetup(news.setup)`.
+/// Parses a setup section.
 absl::StatusOr<Setup> readSetup(const std::string& text);
-/// Reads a keys section. Example: `readKeys(news.keys)`.
+/// Parses a keys section.
 absl::StatusOr<Keys> readKeys(const std::string& text);
-/// Reads a weights section. Example: `readWeights(news.weights)`.
+/// Parses a weights section.
 absl::StatusOr<Weights> readWeights(const std::string& text);
 
-/// A setup that a change replaced, as its text, without the fleet's configuration.
+/// The text of a setup that a later change replaced, without the fleet's configuration.
 struct EarlierSetup {
   SectionVersion version;
   std::shared_ptr<const std::string> text;
 };
 
-/// The whole state with the versions of its sections. A copy shares all parts with its original,
-/// and a change makes anew, and writes out once, only what it changes.
-/// Example: `state.apply(change, "id-1", Epoch{3}, options)` gives the outcome.
+/// The whole state with the versions of its sections. Copies share their parts; a change rebuilds
+/// and serializes only the parts that it modifies, each of them once.
 class ControlState {
  public:
-  /// Example: an empty one, for copies that aren't there yet.
+  /// An empty state, for replicas that have not received one.
   ControlState();
-  /// The state of a fleet just founded. Example: `ControlState::founded(Epoch{1})`.
+  /// The initial state of a newly bootstrapped fleet.
   static ControlState founded(Epoch epoch);
-  /// Reads what `text` wrote. Example: `ControlState::parse(state.text())`.
+  /// Parses the serialized form; DataLoss if it is malformed.
   static absl::StatusOr<ControlState> parse(const std::string& text);
 
-  /// Checks and applies one operator's change. The answer names the field that was wrong.
-  /// Example: `apply(R"({"kind":"weights","label":"spring"})", "c1", epoch, options)`.
+  /// Validates and applies one operator change (JSON). A change whose id was applied before is
+  /// acknowledged again with the version that it had. A rejection names the invalid field.
   ChangeReply apply(const std::string& change, const std::string& changeId, Epoch epoch,
                     const Options& options);
-  /// Stamps a section anew, for fronts that saw a newer, never acknowledged one.
-  /// Example: `state.stampOver(news.have, epoch);`
+  /// Gives a new version to each section of which `seen` has a higher version from an earlier
+  /// epoch: that version was never acknowledged, and its holders must replace it. Returns whether
+  /// any section got one.
   bool stampOver(const SectionVersions& seen, Epoch epoch);
 
-  /// The version of the last change. Example: `versionText(state.version())`.
+  /// The version of the last change.
   SectionVersion version() const { return version_; }
-  /// The versions of the sections. Example: `state.sections().keys`.
   SectionVersions sections() const { return sections_; }
-  /// The sections' texts. Example: `state.setupText()`.
+  /// The serialized sections.
   const std::string& setupText() const { return *setupText_; }
   const std::string& keysText() const { return *keysText_; }
   const std::string& weightsText() const { return *weightsText_; }
-  /// The version of the fleet's configuration; 0: none yet. Example: `configVersion().value`.
+  /// The version of the fleet's configuration; 0 if none is set.
   ConfigVersion configVersion() const { return fleetVersion_; }
-  /// The version that an order was taken under; null if it wasn't, or is forgotten.
+  /// The version that a change was acknowledged with; null if it was never applied or its record
+  /// was evicted.
   const SectionVersion* takenVersion(const std::string& changeId) const {
     return remembered_->find(changeId);
   }
-  /// Forgets all orders that were taken; only for ControlFault::kRememberedOrdersDropped.
+  /// Drops all deduplication records; only for ControlFault::kRememberedOrdersDropped.
   void forgetTakenOrders() { remembered_ = std::make_shared<RememberedChanges>(); }
-  /// Everything, for files and copies. Example: `ControlState::parse(state.text())`.
+  /// The serialized state, for files and replicas.
   std::string text() const;
-  /// How much JSON was written out for this state and those it came from; tests bound it.
-  /// Example: `state.bytesWritten() < 1000` after a change of one key.
+  /// How many bytes of JSON were serialized for this state and those it was derived from. Tests
+  /// bound it, to keep the cost of a small change independent of the size of the state.
   std::size_t bytesWritten() const { return bytesWritten_; }
 
  private:
@@ -129,17 +130,18 @@
   std::size_t size() const;
   ChangeReply adopt(ControlState next, RememberedChange change, Epoch epoch,
                     const Options& options);
-  /// A refusal, or no clear answer if the order may have been taken and forgotten.
+  /// Returns the refusal, or kLost if the change may have been applied and its record evicted
+  /// since: then neither success nor failure may be reported.
   ChangeReply judged(const std::string& kind, const Json& change, ChangeReply refusal) const;
   bool mayBeForgotten(const std::string& kind, const Json& change) const;
-  /// The version that a change of this kind has to build on.
+  /// The current version of the section that a change of this kind must be based on.
   const SectionVersion& baseOf(const std::string& kind) const;
   bool sameSections(const ControlState& other) const;
-  /// The highest version of a section.
+  /// The highest of the sections' versions.
   SectionVersion inForce() const;
 
-  std::shared_ptr<const Json> body_;   // setup without the fleet's configuration, keys, weights
-  std::shared_ptr<const Json> fleet_;  // the configuration as it was sent; null: none yet
+  std::shared_ptr<const Json> body_;   // keys, weights, and setup without the fleet's configuration
+  std::shared_ptr<const Json> fleet_;  // the configuration as the operator sent it; null if none
   ConfigVersion fleetVersion_;
   Text bareSetupText_, fleetText_, setupText_, keysText_, weightsText_;
   std::vector<EarlierSetup> earlier_;
--- a/src/core/core_node.cc
+++ b/src/core/core_node.cc
@@ -12,13 +12,14 @@
   return newest;
 }
 
-/// A file's document; null if it is torn or no JSON.
+/// The JSON document of a sealed file; null if its seal is broken, discarded if it is not JSON.
 Json documentIn(const std::string& file) {
   auto content = opened(file);
   return content ? Json::parse(*content, nullptr, false) : Json();
 }
 
-/// Reads a document into a value; false if it hasn't its shape. The value is untouched then.
+/// Parses a document into a value. Returns false, and leaves the value unchanged, if the document
+/// doesn't have the expected fields.
 template <class T>
 bool readInto(const Json& document, T& value) {
   try {
@@ -31,7 +32,8 @@
   }
 }
 
-/// Adds what files of earlier versions lack: their views were followed by their voters alone.
+/// Adds fields that files of earlier releases lack. In those releases a view was succeeded by its
+/// own voters alone, so there are no former voters.
 void addLaterFields(Json& record) {
   if (!record.is_object() || !record.contains("accepted") || !record["accepted"].is_object())
     return;
@@ -40,7 +42,7 @@
 
 struct FoundAcceptor {
   AcceptorRecord record;
-  bool torn = false;  // there is a record and it can't be read
+  bool torn = false;  // a record exists but cannot be parsed
 };
 
 FoundAcceptor loadAcceptor(const DiskFound& found, CoreId core) {
@@ -55,7 +57,7 @@
 }
 
 ReplicaOnDisk loadReplica(const DiskFound& found) {
-  // Only the newest file counts: an older one may lack what was acknowledged.
+  // Only the newest file is used: an older one may lack acknowledged changes.
   std::string name = newestFile(found, "state.");
   if (name.empty()) return {};
   Json document = documentIn(found.files.at(name));
@@ -145,7 +147,7 @@
     if (!acceptor_->written(*written, now, outbox_)) leadership_->written(*written, now, outbox_);
     if (!acceptor_->votes()) leadership_->suspect(outbox_);
   } else if (auto* asked = std::get_if<OperatorRequest>(&event)) {
-    putInForce(now);  // what a primary has published is the newest, with no question
+    putInForce(now);  // a primary's own published state is current without a request
     if (asked->path == "/status")
       outbox_.push(AnswerWeb{
           asked->ticket, 200, {{"Content-Type", "application/json"}}, status(now).dump()});
@@ -167,7 +169,8 @@
 
 void CoreNode::noticeTime(MonotonicTime now) {
   acceptor_->notice(now);
-  // After a leap of the clock engines' grants hold for a whole hold more, too.
+  // After a clock leap the time of the last renewals is uncertain, so grants that may still be in
+  // use are extended by a full lease.
   bool leapt = lastNotice_ != kNever && now - lastNotice_ > seconds(0.4);
   if (leapt && options_.guards(Guard::kClockLeap))
     for (auto& [engine, grant] : engineGrants_)
@@ -179,7 +182,7 @@
 void CoreNode::putInForce(MonotonicTime now) {
   if (leadership_->names(now)) {
     follower_->lead(leadership_->published(), leadership_->view(), now, outbox_);
-    // This machine itself may hold a change of an earlier view that was never acknowledged.
+    // This machine itself may have installed an unacknowledged change of an earlier view.
     const SectionVersions mine = leadership_->published().sections();
     const SectionVersions& have = follower_->have();
     if (have.setup > mine.setup || have.keys > mine.keys || have.weights > mine.weights)
@@ -282,7 +285,7 @@
   SectionVersions mine = leadership_->published().sections();
   if (ask.have.setup > mine.setup || ask.have.keys > mine.keys || ask.have.weights > mine.weights)
     leadership_->sawNewer(ask.have);
-  bool first = !frontsHave_.contains(ask.asker);  // it may have no proof that is young enough
+  bool first = !frontsHave_.contains(ask.asker);  // its current proof may be too old
   requesters_[ask.asker] = {from, ask, now, first};
   frontsHave_[ask.asker] = ask.have;
 }
@@ -326,7 +329,8 @@
 }
 
 bool CoreNode::inForceEverywhere(const SectionVersions& sections) const {
-  // Who was silent so long that it left the directory has no proof that is young enough.
+  // A router that was silent until membership dropped it has no valid proof any more, so it doesn't
+  // act on an older state and need not be counted.
   for (const auto& front : membership_->liveFronts()) {
     auto have = frontsHave_.find(front.member);
     if (have == frontsHave_.end() || have->second.setup < sections.setup ||
@@ -337,8 +341,8 @@
 }
 
 void CoreNode::notifyOthers() {
-  // Fronts whose question is not open just now hear of news all the same: the yes that goes out
-  // with it may be this machine's last act.
+  // Routers without a pending request are notified as well: this machine may fail right after it
+  // sends the acknowledgement.
   const ControlState& state = leadership_->published();
   bool newView = leadership_->view().epoch != toldView_;
   if (state.sections() == told_ && !newView) return;
@@ -346,7 +350,7 @@
   news.sentAt = kUnsolicited;
   news.view = leadership_->view();
   news.now = state.sections();
-  // A new primary says that it is there; who lacks anything then asks for it.
+  // A new primary announces itself; members that lack a section then request it.
   if (toldView_.value == 0) told_ = news.now;
   toldView_ = news.view.epoch;
   if (news.now.setup > told_.setup) news.setup = state.setupText();
@@ -359,7 +363,7 @@
 
 void CoreNode::grantEngines(const Address& from, const EngineLeaseRequest& ask, MonotonicTime now) {
   EngineLeaseReply answer{acceptor_->record().identity, ask.sentAt, {}};
-  // A restarted granter waits out a hold and the gap, for it forgot what it granted.
+  // Grants are not persisted, so after a restart it waits for a lease and the gap before granting.
   bool quiet = now - started_ < options_.engineLease + options_.engineLeaseGap;
   if (quiet || leadership_->isSuspect()) return;
   for (const auto& engine : ask.engines) {
--- a/src/core/core_node.h
+++ b/src/core/core_node.h
@@ -1,5 +1,6 @@
 #pragma once
-// A control machine: member, voter, perhaps primary or backup, and a relay of news.
+// A node of the control side: gossip member, acceptor, possibly primary or backup, and relay of the
+// control state to routers.
 #include <array>
 #include <map>
 #include <memory>
@@ -12,30 +13,29 @@
 
 namespace peppergate {
 
-/// The files that a core machine found on its disk at start.
+/// The files on a core machine's disk at start, by name.
 struct DiskFound {
   std::map<std::string, std::string> files;
 };
 
-/// Any daemon, as the shell and the simulator drive it.
+/// A daemon's state machine, driven by the event loop or the simulator.
 class Node {
  public:
   virtual ~Node() = default;
-  /// Takes one event; what to do is then in the outbox.
-  /// Example: `node.step(Ticked{}, now); run(node.outbox().take());`
+  /// Handles one event and puts the resulting commands into the outbox.
   virtual void step(const Event& event, MonotonicTime now) = 0;
-  /// The node's commands and counters. Example: see `step`.
+  /// The node's pending commands and its counters.
   virtual Outbox& outbox() = 0;
-  /// The status page. Example: `node.status(now)["role"]`.
+  /// The content of the status page.
   virtual Json status(MonotonicTime now) const = 0;
-  /// Takes reloaded options. Example: on SIGHUP.
+  /// Replaces the options after a reload (SIGHUP).
   virtual void reload(const Options& options) = 0;
-  /// Whether a drain has ended. Example: the process may go.
+  /// Whether a requested drain is complete, so that the process may exit.
   virtual bool drained(MonotonicTime now) const = 0;
 };
 
-/// Example: `CoreNode core(options, self, seeds, found, 7, now, bootstrap); core.step(Ticked{},
-/// now);`
+/// Joins membership, acceptor, leadership, follower, read-only leader and operator handler into one
+/// state machine, and dispatches events and messages to them.
 class CoreNode final : public Node {
  public:
   CoreNode(const Options& options, MemberRecord self, std::vector<Address> seeds,
@@ -46,13 +46,14 @@
   Outbox& outbox() override { return outbox_; }
   Json status(MonotonicTime now) const override;
   void reload(const Options& options) override { options_ = options; }
-  /// An independent machine in the same state, for searches that branch; without engine duties.
+  /// An independent copy with the same state, for the model checker's branching search. Engine
+  /// duties are not copied.
   std::unique_ptr<CoreNode> clone() const;
   bool drained(MonotonicTime now) const override { return draining_ && leadership_->gone(now); }
-  /// From now on the one in charge lists engines and orders weights. Example: in a fleet whose
-  /// routers are told of engines by the core.
+  /// Enables engine discovery and weight rollout, which this node performs while it leads. Used in
+  /// fleets whose routers get the engine list from the core.
   void takeEngineDuties();
-  /// For checkers and tests. Example: `core.leadership().leads(now)`.
+  // Read access for the model checker and tests.
   const Leadership& leadership() const { return *leadership_; }
   const Acceptor& acceptor() const { return *acceptor_; }
   const Follower& follower() const { return *follower_; }
@@ -75,7 +76,7 @@
     Address from;
     StateRequest ask;
     MonotonicTime since;
-    bool first = false;  // its first question to this primary: answered at once
+    bool first = false;  // its first request to this primary is answered at once
   };
   struct EngineGrant {
     MemberId holder;
@@ -96,16 +97,17 @@
   SectionVersions told_;
   Epoch toldView_;
   MonotonicTime lastNotice_ = kNever;
-  std::map<MemberId, SectionVersions> frontsHave_;  // as their questions said
+  std::map<MemberId, SectionVersions> frontsHave_;  // section versions as of their last request
   MonotonicTime started_;
   bool draining_ = false;
 };
 
-/// The identity on a disk, if one is there. Example: `identityOn(found)`.
+/// The core's identity as stored on its disk; zero if there is none.
 CoreId identityOn(const DiskFound& found);
-/// What a new disk gets first, with how its core founds. Example: written before the node starts.
+/// The content of the identity file: the core's identity and its bootstrap settings. It is written
+/// to a new disk before the node starts.
 std::string identityFile(CoreId core, const Bootstrap& bootstrap = {});
-/// How the core of this disk founds, as it was told at its birth. Example: `bootstrapOn(found)`.
+/// The bootstrap settings that the identity file stores.
 Bootstrap bootstrapOn(const DiskFound& found);
 
 }  // namespace peppergate
--- a/src/core/core_node_status.cc
+++ b/src/core/core_node_status.cc
@@ -1,4 +1,4 @@
-// The status page of a control machine.
+// The status page of a core node.
 #include <array>
 
 #include "core/core_node.h"
--- a/src/core/digest.cc
+++ b/src/core/digest.cc
@@ -24,7 +24,7 @@
 
 PartName partName(const Wall& wall, WeightsVersion weights, const PartName& previous,
                   std::string_view content) {
-  // Lengths go before the texts, so that no two different inputs run together alike.
+  // Length prefixes make the concatenation unambiguous.
   std::string input = "part\n" + std::to_string(wall.value.size()) + ":" + wall.value + "\n" +
                       std::to_string(weights.value) + "\n" + previous.value + "\n" +
                       digestText(content);
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -1,5 +1,5 @@
 #pragma once
-// SHA-256 names: key digests and part names. A key itself is never kept or logged.
+// SHA-256 digests of keys and names of prefix blocks. A key itself is never stored or logged.
 #include <string>
 #include <string_view>
 
@@ -7,12 +7,12 @@
 
 namespace peppergate {
 
-/// The digest of any text in hex, first 128 bits. Example: `digestText("a").size() == 32`.
+/// The first 128 bits of a text's SHA-256 digest, as 32 hexadecimal digits.
 std::string digestText(std::string_view text);
-/// What stands for a tenant's key everywhere inside. Example: `keyDigest("secret-1")`.
+/// The digest that represents a tenant's key in state, messages and logs.
 KeyDigest keyDigest(std::string_view key);
-/// Names a prompt part by wall, weights and everything before it.
-/// Example: `partName(wall, weights, PartName{}, "rulebook")` names the first part of a prompt.
+/// Names a prefix block by its content, the tenant's cache isolation domain, the weights version
+/// and the name of the preceding block, which is empty for the first block of a prompt.
 PartName partName(const Wall& wall, WeightsVersion weights, const PartName& previous,
                   std::string_view content);
 
--- a/src/core/documents.cc
+++ b/src/core/documents.cc
@@ -1,10 +1,10 @@
-// Reading of documents from outside: bounded in depth, and the head alone where that will do.
+// Parsers for untrusted JSON: with bounded nesting depth, or for the top-level strings alone.
 #include "core/schemas.h"
 
 namespace peppergate {
 namespace {
 
-/// The deepest nesting of a text. Brackets in strings don't count. Example: `[[1]]` is 2 deep.
+/// Whether a JSON text exceeds the nesting limit. Brackets inside strings are not counted.
 bool tooDeep(std::string_view text) {
   std::size_t depth = 0;
   bool inString = false;
@@ -24,7 +24,7 @@
   return false;
 }
 
-/// Follows the parser and keeps what stands at the top of an object.
+/// SAX handler that keeps the top-level string fields of an object.
 class HeadReader final : public nlohmann::json_sax<Json> {
  public:
   explicit HeadReader(DocumentHead& head) : head_(head) {}
@@ -46,7 +46,7 @@
   bool key(string_t& name) override {
     if (depth_ == 1) {
       key_ = std::move(name);
-      head_.texts.erase(key_);  // named twice: the last one counts
+      head_.texts.erase(key_);  // for a duplicate key the last value counts
     }
     return true;
   }
--- a/src/core/example_setup.cc
+++ b/src/core/example_setup.cc
@@ -1,4 +1,4 @@
-// Tenants, prefixes and first setups of both deployments.
+// Example tenants, prompt prefixes and initial setups of the two deployments.
 #include "core/example_setup.h"
 
 #include <algorithm>
@@ -50,7 +50,7 @@
 }
 
 std::vector<std::string> sharedPrefix(std::string_view tenant, int size, std::uint64_t document) {
-  // Two parts: what the whole tenant shares, and one of its documents.
+  // Two blocks: one that the whole tenant shares, and one of its documents.
   std::size_t whole = kPrefixSizes.at(static_cast<std::size_t>(size));
   return {filler(std::string(tenant) + " house rules", whole / 4),
           filler(std::string(tenant) + " rulebook " + std::to_string(document), whole - whole / 4)};
--- a/src/core/example_setup.h
+++ b/src/core/example_setup.h
@@ -1,6 +1,6 @@
 #pragma once
-// The two deployments' example setups, as `peppergate setup example` applies them; stand-ins and
-// the simulator send the streams that go with them.
+// The example setups of the two deployments, as `peppergate setup example` applies them. The
+// stand-in processes and the simulator generate matching traffic.
 #include <string>
 #include <string_view>
 #include <vector>
@@ -9,24 +9,23 @@
 
 namespace peppergate {
 
-/// The tenants of both deployments: name, rank, share of the traffic, size class.
+/// An example tenant: name, load shedding rank, share of the traffic, and prefix size class.
 struct TenantRow {
   std::string_view name;
   int rank;
   double share;
   int prefix;
 };
-/// Example: `for (const auto& row : tenantRows("hutline")) ...`
+/// The tenants of a profile, "hutline" or "fjordsyn".
 std::vector<TenantRow> tenantRows(std::string_view profile);
-/// The shared prefix of a size class: house rules and one of the tenant's documents.
-/// Example: `sharedPrefix("rescue", 2, 0)`.
+/// The prompt prefix blocks of a size class: one that the tenant's requests share, and one of the
+/// tenant's documents.
 std::vector<std::string> sharedPrefix(std::string_view tenant, int size, std::uint64_t document);
-/// Picks a document; the first ones are asked for more. Example: `pickDocument(random, 4)`.
+/// Picks a document at random; those with lower numbers are picked more often.
 std::uint64_t pickDocument(Random& random, std::uint64_t documents);
-/// The whole first setup of a deployment, as an operator would apply it.
-/// Example: `firstSetupBody("hutline", "1.1")`.
+/// The change with which an operator applies the initial setup of a profile.
 std::string firstSetupBody(std::string_view profile, const std::string& basedOn);
-/// The key that an example tenant's callers use. Example: `exampleKey("rescue")`.
+/// The API key of an example tenant's clients.
 inline std::string exampleKey(const std::string& tenant) { return "secret-of-" + tenant; }
 
 }  // namespace peppergate
--- a/src/core/fleet_pace.h
+++ b/src/core/fleet_pace.h
@@ -1,18 +1,18 @@
 #pragma once
-// How often one member tells all others, by how many they are. What each member has to take in is
-// the number of tellers over this time, so the time grows with the fleet.
+// The interval at which a member broadcasts to all others. Each member receives as many broadcasts
+// per interval as there are senders, so the interval grows with the fleet.
 #include <algorithm>
 
 #include "core/types.h"
 
 namespace peppergate {
 
-/// The bounds of one kind of news, and how much each member adds to the time between two.
+/// The limits of the interval for one kind of broadcast, and what each member adds to it.
 struct FleetPace {
   Duration shortest, perMember, longest;
 
-  /// Example: `FleetPace{milliseconds(100), milliseconds(5), milliseconds(500)}.between(81)` is
-  /// 405 ms.
+  /// The interval in a fleet of `members`. For example, with limits of 100 ms and 500 ms and 5 ms
+  /// per member it is 405 ms for 81 members.
   Duration between(std::size_t members) const {
     return std::clamp(perMember * static_cast<double>(members), shortest, longest);
   }
--- a/src/core/message_fields.h
+++ b/src/core/message_fields.h
@@ -1,5 +1,5 @@
 #pragma once
-// How a message names its fields: frames and schemas are made from these names.
+// Macros with which a message lists its fields. Frames and schemas use the field names given here.
 
 #define PEPPERGATE_FIELDS(...)                      \
   template <class Self, class Visitor>              \
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the system's own processes say to each other. All of it may be lost, late or doubled.
+// The messages between the system's own processes. Any of them may be lost, delayed or duplicated.
 #include <variant>
 #include <vector>
 
@@ -9,11 +9,11 @@
 
 namespace peppergate {
 
-/// One member as its fellows know it; heartbeat rises while it lives.
+/// A member as gossip describes it. The heartbeat counter increases while the member is alive.
 struct MemberRecord {
   MemberId member;
   Address address;
-  Address pages;  // where its HTTP pages are
+  Address pages;  // of its HTTP status and operator pages
   Role role = Role::kFront;
   Zone zone;
   CoreId core;
@@ -24,16 +24,17 @@
                             PEPPERGATE_FIELD(heartbeat) PEPPERGATE_FIELD(leaving))
 };
 
-/// Who leads, who copies, who votes. Epoch 0 means that nothing was founded yet; a view without
-/// backups is a bootstrap view, in which nothing was ever acknowledged.
+/// A configuration of the control side: the primary, its backups and the voters. Epoch 0 means that
+/// no fleet was bootstrapped yet. A view without backups is a bootstrap view, in which nothing was
+/// ever acknowledged.
 struct View {
   Epoch epoch;
   CoreId primary;
-  std::vector<CoreId> backups;  // in the order in which they take over
-  Epoch base;  // copies made for this epoch or later hold all that was acknowledged
+  std::vector<CoreId> backups;  // in order of succession
+  Epoch base;  // replicas written for this epoch or later hold every acknowledged change
   std::vector<CoreId> voters;
-  /// The voters of the view that it follows, where they are others, until it is known to be
-  /// settled: so long a majority of these is asked, too. Empty afterwards.
+  /// The voters of the preceding view, if they differ. Until this view is known to be settled, a
+  /// majority of them is required as well; empty afterwards.
   std::vector<CoreId> formerVoters = {};
   bool operator==(const View&) const = default;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD(primary) PEPPERGATE_FIELD(backups)
@@ -44,7 +45,7 @@
 struct Shuffle {
   MemberRecord sender;
   std::vector<MemberRecord> records;
-  std::vector<KeyDigest> withdrawn;  // tombstones heard lately
+  std::vector<KeyDigest> withdrawn;  // recent tombstones of withdrawn keys
   ListVersion engineList;
   bool wantsAnswer = false;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(sender) PEPPERGATE_FIELD(records) PEPPERGATE_FIELD(withdrawn)
@@ -52,9 +53,9 @@
 };
 
 enum class PrepareKind : std::uint8_t {
-  kLease = 0,  // a promise and a hold in one; asked again, it renews the hold
-  kBootstrap,  // the same, of a core that founds the fleet
-  kRelease,    // the candidate, or with epoch 0 the read-only leader, gave up its hold; no answer
+  kLease = 0,  // a promise and a lease in one; repeated, it renews the lease
+  kBootstrap,  // the same, from a core that bootstraps the fleet
+  kRelease,    // the candidate, or with epoch 0 the read-only leader, gave up its lease; no reply
 };
 
 struct PrepareRequest {
@@ -93,7 +94,7 @@
                         PEPPERGATE_FIELD(promised))
 };
 
-struct ReplicateRequest {  // the whole state, for a recruit or for each new version
+struct ReplicateRequest {  // the whole state, for a joining replica or for each new version
   Epoch epoch;
   CoreId from;
   SectionVersion version;
@@ -112,7 +113,7 @@
                         PEPPERGATE_FIELD(synced))
 };
 
-/// The versions of the three parts of the state that a daemon has.
+/// The versions of the three sections of the control state that a daemon has.
 struct SectionVersions {
   SectionVersion setup, keys, weights;
   auto operator<=>(const SectionVersions&) const = default;
@@ -128,31 +129,32 @@
                         PEPPERGATE_FIELD(relayed))
 };
 
-/// The stamp of news that nobody asked for: it may be installed, but it proves nothing.
+/// The `sentAt` of an unsolicited StateReply. Its content may be installed, but it proves no
+/// freshness.
 inline constexpr MonotonicTime kUnsolicited{-1};
 
 struct StateReply {
-  MonotonicTime sentAt;   // the asker's own stamp, sent back
-  bool proof = false;     // traceable to a primary, or a read-only leader, under its hold
-  bool attested = false;  // to a read-only leader, not to a primary
-  Duration age;           // how old the proof was when it left
+  MonotonicTime sentAt;   // of the request, echoed
+  bool proof = false;     // derived from a primary or read-only leader that held its lease
+  bool attested = false;  // derived from a read-only leader instead of a primary
+  Duration age;           // of the proof when the reply was sent
   View view;
   SectionVersions now;
-  SectionVersions named;             // what the leader itself showed in the newest proof
-  std::string setup, keys, weights;  // empty where the asker had the newest
+  SectionVersions named;  // versions that the leader itself published in the newest proof
+  std::string setup, keys, weights;  // empty where the requester is up to date
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(sentAt) PEPPERGATE_FIELD(proof) PEPPERGATE_FIELD(attested)
                         PEPPERGATE_FIELD(age) PEPPERGATE_FIELD(view) PEPPERGATE_FIELD(now)
                             PEPPERGATE_FIELD(named) PEPPERGATE_FIELD(setup) PEPPERGATE_FIELD(keys)
                                 PEPPERGATE_FIELD(weights))
 };
 
-/// What both copies have synced, for the other voters: a change is acknowledged once a majority of
-/// the voters holds it.
+/// The state that primary and backup have synced, sent to the other voters: a change is
+/// acknowledged once a majority of the voters holds it.
 struct WitnessUpdateRequest {
   Epoch epoch;
   SectionVersion version;
   SectionVersions now;
-  std::string setup, keys, weights;  // empty where the voter surely has it
+  std::string setup, keys, weights;  // empty where the voter is known to have it
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD(version) PEPPERGATE_FIELD(now)
                         PEPPERGATE_FIELD(setup) PEPPERGATE_FIELD(keys) PEPPERGATE_FIELD(weights))
 };
@@ -166,12 +168,12 @@
                         PEPPERGATE_FIELD(have))
 };
 
-struct ReadLeaseRequest {  // to the voters of the last accepted view
-  View view;               // as the asker accepted it
+struct ReadLeaseRequest {  // sent to the voters of the last accepted view
+  View view;               // as the requester accepted it
   CoreId readOnlyLeader;
   MonotonicTime sentAt;
   SectionVersions have;
-  bool grant = false;  // else it only looks who answers
+  bool grant = false;  // false: only probes which voters answer
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(view) PEPPERGATE_FIELD(readOnlyLeader) PEPPERGATE_FIELD(sentAt)
                         PEPPERGATE_FIELD(have) PEPPERGATE_FIELD(grant))
 };
@@ -180,12 +182,12 @@
   CoreId voter;
   MonotonicTime sentAt;
   bool granted = false;
-  bool votes = false;   // its disk is good
-  bool intact = false;  // it is a member of the view with a copy made for it
-  bool proven = false;  // it had a primary's proof in this life
-  CoreId grantedTo;     // who stands in the way, if one does
+  bool votes = false;   // its disk is usable, so it takes part in votes
+  bool intact = false;  // it belongs to the view and has a replica written for it
+  bool proven = false;  // it had a primary's proof since its process started
+  CoreId grantedTo;     // the holder of a conflicting lease, if any
   SectionVersions now;
-  std::string setup, keys, weights;  // where the asker has less
+  std::string setup, keys, weights;  // where the requester is behind
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(voter) PEPPERGATE_FIELD(sentAt) PEPPERGATE_FIELD(granted)
                         PEPPERGATE_FIELD(votes) PEPPERGATE_FIELD(intact) PEPPERGATE_FIELD(proven)
                             PEPPERGATE_FIELD(grantedTo) PEPPERGATE_FIELD(now)
@@ -193,7 +195,7 @@
                                     PEPPERGATE_FIELD(weights))
 };
 
-struct ReadLeaderNotification {  // whom to ask where no primary is heard
+struct ReadLeaderNotification {  // announces a read-only leader where no primary is reachable
   CoreId readOnlyLeader;
   Epoch view;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(readOnlyLeader) PEPPERGATE_FIELD(view))
@@ -216,18 +218,18 @@
 struct ChangeRequest {
   TicketId ticket;
   std::string changeId;
-  std::string change;  // JSON, digests only
+  std::string change;  // JSON; contains key digests, never keys
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(ticket) PEPPERGATE_FIELD(changeId) PEPPERGATE_FIELD(change))
 };
 
 struct ChangeReply {
-  TicketId ticket;  // of the daemon that asked; it may belong to an earlier life of that daemon
-  std::string changeId;  // the order that this answers
+  TicketId ticket;       // of the requesting daemon, possibly from before its restart
+  std::string changeId;  // of the change that this replies to
   ChangeOutcome outcome = ChangeOutcome::kLost;
   SectionVersion version;
-  std::string field;  // which field was wrong, if one was
+  std::string field;  // path of the invalid field, if any
   std::string detail;
-  std::uint64_t newest = 0;  // of the fleet's configuration, when a change built on another one
+  std::uint64_t newest = 0;  // current configuration version, if the change had another base
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(ticket) PEPPERGATE_FIELD(changeId) PEPPERGATE_FIELD(outcome)
                         PEPPERGATE_FIELD(version) PEPPERGATE_FIELD(field) PEPPERGATE_FIELD(detail)
                             PEPPERGATE_FIELD(newest))
@@ -258,7 +260,7 @@
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(have))
 };
 
-/// What one engine keeps, as its watcher knows it.
+/// A prefix block that an engine caches, as reported by the member that watches the engine.
 struct KeptPart {
   PartName name;
   Wall wall;
@@ -270,22 +272,22 @@
   EngineId engine;
   EngineLife life;
   WeightsVersion weights;
-  std::uint64_t revision = 0;  // the engine's own count of changes
-  Duration age;                // since the engine was seen so
-  std::uint64_t usage = 0;     // streams it runs
+  std::uint64_t revision = 0;  // the engine's own change counter
+  Duration age;                // since this state was observed
+  std::uint64_t usage = 0;     // running streams
   bool ready = false;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(engine) PEPPERGATE_FIELD(life) PEPPERGATE_FIELD(weights)
                         PEPPERGATE_FIELD(revision) PEPPERGATE_FIELD(age) PEPPERGATE_FIELD(usage)
                             PEPPERGATE_FIELD(ready))
 };
 
-struct EngineSnapshotNotification {  // the watcher's word on its engines, to every front
+struct EngineSnapshotNotification {  // the state of the watched engines, sent to every router
   MemberId watcher;
   std::vector<EngineSnapshot> pictures;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(watcher) PEPPERGATE_FIELD(pictures))
 };
 
-struct IndexPut {  // the kept parts of one engine, to the members that copy its entries
+struct IndexPut {  // the blocks that an engine caches, sent to the replicas of its index entries
   EngineId engine;
   EngineLife life;
   std::uint64_t revision = 0;
@@ -294,7 +296,7 @@
                         PEPPERGATE_FIELD(parts))
 };
 
-struct IndexRequest {  // a sweep or a read: send what is newer than this
+struct IndexRequest {  // requests entries newer than this, for anti-entropy sweeps and reads
   EngineId engine;
   EngineLife life;
   std::uint64_t revision = 0;
--- a/src/core/operator_handler.cc
+++ b/src/core/operator_handler.cc
@@ -8,16 +8,17 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kUnknownFor = seconds(0.9);  // without a known primary, nothing sent yet
-constexpr Duration kRefusedFor = seconds(3.3);  // while primaries refuse
-constexpr Duration kSilentFor = seconds(6);     // once a primary may have taken it
+constexpr Duration kUnknownFor = seconds(0.9);  // no primary known and nothing sent yet
+constexpr Duration kRefusedFor = seconds(3.3);  // while primaries refuse temporarily
+constexpr Duration kSilentFor = seconds(6);     // after a send: the change may have been applied
 constexpr Duration kAskEvery = seconds(0.3);
 constexpr Duration kReadFor = seconds(2.5);
 constexpr std::size_t kMostForwarded = 2000;
 constexpr std::size_t kMostForwardedBytes = 32U << 20;
 constexpr std::size_t kMostReaders = 100;
 
-/// When an unanswered change is sent again: large ones are not piled up on a primary at work.
+/// The delay before an unanswered change is resent. It grows with the size, so that copies of a
+/// large change don't queue up at a primary that is still processing the first.
 Duration repeatAfter(std::size_t bytes) {
   return kAskEvery + milliseconds(static_cast<std::int64_t>(bytes / 4000));
 }
@@ -93,7 +94,7 @@
   body["weights"]["models"] = std::move(models);
   if (follower_.installed()) {
     Json setup = Json::parse(follower_.setupText());
-    setup.erase("fleet");  // with its keys only on its own page, whole
+    setup.erase("fleet");  // contains keys, so only /config shows it
     body["setup"] = std::move(setup);
   }
   answer(ticket, 200, body, outbox);
@@ -122,7 +123,7 @@
   }
   readers_[ticket] = now;
   settle(now, outbox);
-  // Only a question sent from now on proves that nothing newer was acknowledged before.
+  // Only a request sent from now on proves that no newer version was acknowledged before the read.
   if (readers_.contains(ticket)) askNow(now, outbox);
 }
 
@@ -133,7 +134,7 @@
 
 void OperatorHandler::settle(MonotonicTime now, Outbox& outbox) {
   (void)now;
-  std::string body;  // made once for all who wait
+  std::string body;  // serialized once for all pending readers
   for (auto reader = readers_.begin(); reader != readers_.end();) {
     if (!follower_.readable(reader->second)) {
       ++reader;
@@ -153,7 +154,7 @@
 }
 
 void OperatorHandler::forward(const OperatorRequest& asked, MonotonicTime now, Outbox& outbox) {
-  // Only the head is read here: a large configuration is passed on as it came.
+  // Only the top-level strings are parsed: a large configuration is forwarded unchanged.
   if (asked.body.size() > static_cast<std::size_t>(options_.largestSetup)) {
     answer(asked.ticket, 413, {{"outcome", "too-large"}}, outbox);
     return;
@@ -161,7 +162,8 @@
   DocumentHead head = readHead(asked.body);
   if (!head.readable) {
     answer(asked.ticket, 400,
-           {{"outcome", "invalid"}, {"field", "<root>"}, {"detail", "is no JSON object"}}, outbox);
+           {{"outcome", "invalid"}, {"field", "<root>"}, {"detail", "is not a JSON object"}},
+           outbox);
     return;
   }
   std::string& changeId = head.texts["changeId"];
@@ -169,12 +171,12 @@
     answer(asked.ticket, 400,
            {{"outcome", "invalid"},
             {"field", "[changeId]"},
-            {"detail", "a text of 1 to 128 characters is needed"}},
+            {"detail", "must be a string of 1 to 128 characters"}},
            outbox);
     return;
   }
   ChangeRequest ask{asked.ticket, changeId, asked.body};
-  // Keys become digests here, at the first daemon, and are never passed on as they are.
+  // The first daemon replaces a key by its digest; the key itself is never forwarded.
   if (auto key = head.texts.find("key"); key != head.texts.end()) {
     head.texts["digest"] = keyDigest(key->second).value;
     Json change = parseDocument(asked.body);
@@ -186,12 +188,13 @@
   if (withdrawal && !head.texts["digest"].empty())
     follower_.withdraw({head.texts["digest"]}, outbox);
   if (follower_.attestedBy(now) == "caretaker") {
-    // Nothing can be acknowledged here. A withdrawal still holds in this part: it goes round as a
-    // tombstone, and has to be asked for again once there is a primary.
+    // Without a primary no change can be acknowledged. A key withdrawal still takes effect on this
+    // side of the partition, as a gossiped tombstone, and has to be repeated once there is a
+    // primary.
     const OutcomeRow& row = rowOf(ChangeOutcome::kReadOnly);
     answer(asked.ticket, row.status,
            {{"outcome", row.name},
-            {"detail", "this part has no primary, a caretaker vouches for it; repeat later"},
+            {"detail", "this partition has a read-only leader and no primary; retry later"},
             {"heldInThisPart", withdrawal}},
            outbox, row.retry);
     return;
@@ -215,7 +218,7 @@
   if (change.sentTo.value.empty() && primary.value.empty()) {
     if (age <= kUnknownFor) return Progress::kWaits;
     answer(change.ask.ticket, 503,
-           {{"outcome", "no-primary"}, {"detail", "no primary is known here"}}, outbox, true);
+           {{"outcome", "no-primary"}, {"detail", "this node knows no primary"}}, outbox, true);
     return Progress::kEnded;
   }
   if (change.refused && age > kRefusedFor) {
@@ -224,11 +227,13 @@
   }
   if (age > kSilentFor) {
     answer(change.ask.ticket, 504,
-           {{"outcome", "lost"}, {"detail", "no answer; repeat with the same change id"}}, outbox,
-           true);
+           {{"outcome", "lost"},
+            {"detail", "no reply from the primary; retry with the same change id"}},
+           outbox, true);
     return Progress::kEnded;
   }
-  // Asked again in time, or of a new primary at once: the change id keeps it one change.
+  // Resent after the delay, or at once to a new primary; the change id prevents a second
+  // application.
   bool moved = primary != change.sentTo;
   if (primary.value.empty() || (!moved && now < change.nextAt)) return Progress::kWaits;
   change.sentTo = primary;
@@ -241,12 +246,12 @@
 void OperatorHandler::hear(const ChangeReply& change, MonotonicTime now, Outbox& outbox) {
   auto found = forwarded_.find(change.ticket);
   if (found == forwarded_.end()) return;
-  // Tickets begin anew with each life of a daemon; the answer may be to an earlier life's order.
+  // Tickets restart with each process, so this may be the reply to a change from before a restart.
   if (found->second.ask.changeId != change.changeId) {
     outbox.count("changes.strayAnswers");
     return;
   }
-  // A primary may have gone, or wait for its backup: the change is tried again for a while.
+  // The primary may have lost its role or lack a backup: the change is retried for a while.
   Forwarded& waiting = found->second;
   if (rowOf(change.outcome).retry && now - waiting.since < kRefusedFor) {
     waiting.refused = change;
@@ -283,8 +288,8 @@
       continue;
     }
     answer(reader->first, 503,
-           {{"outcome", "no-primary"}, {"detail", "no primary proved what is newest"}}, outbox,
-           true);
+           {{"outcome", "no-primary"}, {"detail", "no primary confirmed the current version"}},
+           outbox, true);
     reader = readers_.erase(reader);
   }
   bool overdue = !readers_.empty();
@@ -299,7 +304,7 @@
     forwardedBytes_ -= change.ask.change.size();
     entry = forwarded_.erase(entry);
   }
-  // Whoever waits may wait for a primary that is gone: the newest view is asked for.
+  // The known primary may be gone, so the newest view is requested.
   if (overdue && now - lastAsk_ >= kAskEvery) askNow(now, outbox);
 }
 
--- a/src/core/operator_handler.h
+++ b/src/core/operator_handler.h
@@ -1,5 +1,5 @@
 #pragma once
-// What any daemon does with an operator's HTTP request: answer it or pass it to the primary.
+// Operator HTTP requests at any daemon: answered locally or forwarded to the primary.
 #include <map>
 #include <optional>
 #include <string>
@@ -10,28 +10,30 @@
 
 namespace peppergate {
 
-/// Example: `desk.take(asked, now, outbox)` is false for pages that the node makes itself.
+/// Serves /change, /config, /setup and /trace. Changes are forwarded to the primary and retried
+/// while the primary changes; /config is answered once a proof shows that the local copy is
+/// current.
 class OperatorHandler : private OperatorHandlerCollaborators {
  public:
   OperatorHandler(const Options& options, Membership& membership, Follower& follower)
       : OperatorHandlerCollaborators(membership, follower), options_(options) {}
 
-  /// Takes a change, /config, /setup or /trace. Example: see the class.
+  /// Handles a request. Returns false for paths that the node itself serves.
   bool take(const OperatorRequest& asked, MonotonicTime now, Outbox& outbox);
-  /// Passes the primary's answer on to the operator. Example: on a ChangeReply.
+  /// Handles the primary's reply to a forwarded change.
   void hear(const ChangeReply& answer, MonotonicTime now, Outbox& outbox);
-  /// Answers whoever waited for a proof that has now come. Example: after news.
+  /// Answers pending /config readers whose freshness proof has arrived.
   void settle(MonotonicTime now, Outbox& outbox);
-  /// Asks again what is open and ends what waited too long. Example: each tick.
+  /// Retries pending requests and answers those that timed out.
   void tick(MonotonicTime now, Outbox& outbox);
 
  private:
   struct Forwarded {
     MonotonicTime since;
     ChangeRequest ask;
-    Address sentTo;  // empty: no primary was known yet
+    Address sentTo;  // empty if not sent yet
     MonotonicTime nextAt;
-    std::optional<ChangeReply> refused;  // the last word, if nothing was sent after it
+    std::optional<ChangeReply> refused;  // the last refusal, reset by a retry
   };
   enum class Progress : std::uint8_t { kWaits, kEnded };
 
@@ -48,11 +50,11 @@
   Options options_;
   std::map<TicketId, Forwarded> forwarded_;
   std::size_t forwardedBytes_ = 0;
-  std::map<TicketId, MonotonicTime> readers_;  // of the configuration, since when
+  std::map<TicketId, MonotonicTime> readers_;  // pending /config requests and their start
   MonotonicTime lastAsk_ = kNever;
 };
 
-/// Names an outcome as operators read it. Example: `outcomeName(ChangeOutcome::kStale)`.
+/// The name of an outcome in the operators' API.
 std::string_view outcomeName(ChangeOutcome outcome);
 
 }  // namespace peppergate
--- a/src/core/options.cc
+++ b/src/core/options.cc
@@ -110,7 +110,7 @@
 };
 
 constexpr std::array<Inequality, 19> kInequalities{{
-    {"leaseStop < hold", [](const Options& p) { return p.leaseStop < p.lease; }},
+    {"leaseStop < lease", [](const Options& p) { return p.leaseStop < p.lease; }},
     {"2 * leaseRenewal < leaseStop",
      [](const Options& p) { return p.leaseRenewal * 2 < p.leaseStop; }},
     {"stateRequestWait + leaseStop < proofLimit",
@@ -118,11 +118,11 @@
     {"proofLimit < 4 s", [](const Options& p) { return p.proofLimit < seconds(4); }},
     {"proofLimit < liveLimit < withdrawWithin",
      [](const Options& p) { return p.proofLimit < p.liveLimit && p.liveLimit < p.withdrawWithin; }},
-    {"hold < readLeaseAfter < proofLimit",
+    {"lease < readLeaseAfter < proofLimit",
      [](const Options& p) {
        return p.lease < p.readLeaseAfter && p.readLeaseAfter < p.proofLimit;
      }},
-    {"hold + readLeaseProbe <= readLeaseAfter",
+    {"lease + readLeaseProbe <= readLeaseAfter",
      [](const Options& p) { return p.lease + p.readLeaseProbe <= p.readLeaseAfter; }},
     {"proofLimit <= acknowledgementWait + applyWithin",
      [](const Options& p) { return p.proofLimit <= p.acknowledgementWait + p.applyWithin; }},
@@ -154,12 +154,13 @@
 
 absl::Status setOption(Options& options, std::string_view name, std::string_view value) {
   auto row = std::ranges::find(kRows, name, &OptionRow::name);
-  if (row == kRows.end()) return absl::NotFoundError("unknown prop '" + std::string(name) + "'");
+  if (row == kRows.end()) return absl::NotFoundError("unknown option '" + std::string(name) + "'");
   double number = 0;
   auto [end, fault] = std::from_chars(value.data(), value.data() + value.size(), number);
   if (fault != std::errc{} || end != value.data() + value.size() || !std::isfinite(number) ||
       number < 0 || number > 1e9)
-    return absl::InvalidArgumentError("prop '" + std::string(name) + "' is not a number");
+    return absl::InvalidArgumentError("option '" + std::string(name) +
+                                      "' is not a number between 0 and 1e9");
   std::visit(SlotSetter{options, number}, row->slot);
   return absl::OkStatus();
 }
@@ -167,7 +168,7 @@
 absl::Status checkOptions(const Options& options) {
   for (const auto& inequality : kInequalities)
     if (!inequality.holds(options))
-      return absl::FailedPreconditionError("props break: " + std::string(inequality.text));
+      return absl::FailedPreconditionError("options violate: " + std::string(inequality.text));
   return absl::OkStatus();
 }
 
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -1,5 +1,6 @@
 #pragma once
-// Events come to a machine; it answers with commands. Nothing here touches the outside.
+// The events that a node's state machine consumes and the commands that it emits. The state machine
+// itself performs no I/O.
 #include <map>
 #include <memory>
 #include <string>
@@ -18,24 +19,24 @@
 using Headers = std::map<std::string, std::string>;
 
 // ---- commands ----
-struct Send {  // a message to a member; it may be lost
+struct Send {  // sends a message to a member; it may be lost
   Address to;
   Message message;
 };
-struct Broadcast {  // one message to several members, coded once; each copy may be lost
+struct Broadcast {  // sends one message to several members, encoded once; each copy may be lost
   std::vector<Address> to;
   std::shared_ptr<const Message> message;
 };
-struct WriteFile {  // written aside, synced, renamed, folder synced; answered by FileWritten
+struct WriteFile {  // temporary file, sync, rename, directory sync; answered by FileWritten
   TicketId ticket;
   std::string name;
   std::string content;
 };
-struct DropOlder {  // of the numbered files with this prefix, only the newest stay
+struct DropOlder {  // removes all but the newest numbered files with this prefix
   std::string prefix;
   std::size_t keep = 2;
 };
-struct CallWeb {  // a short HTTP call; answered by WebAnswered
+struct CallWeb {  // a unary HTTP call; answered by WebAnswered
   TicketId ticket;
   Address address;
   std::string method;
@@ -43,23 +44,23 @@
   Headers headers;
   std::string body;
   Duration timeout;
-  MonotonicTime writeBefore = kForever;  // an order's hold, checked again at the write
+  MonotonicTime writeBefore = kForever;  // end of an order's lease, checked again before the write
 };
-struct OpenShot {  // a streamed HTTP call to an engine, on a connection of its own
+struct OpenShot {  // a streaming HTTP call to an engine, on a connection of its own
   ShotId shot;
   Address address;
   std::string path;
   Headers headers;
   std::string body;
-  MonotonicTime writeBefore;  // checked again at the write itself
+  MonotonicTime writeBefore;  // checked again immediately before the write
 };
 struct CancelShot {
   ShotId shot;
 };
-struct StartAnswer {  // the stream's head goes to the caller
+struct StartAnswer {  // sends the response head to the caller
   StreamId stream;
   std::string requestId;
-  WeightsVersion weights;  // to be named again by a caller that resumes
+  WeightsVersion weights;  // a caller that resumes the stream names it again
 };
 struct SendPiece {
   StreamId stream;
@@ -67,14 +68,14 @@
   std::string text;
 };
 enum class AnswerEnd : std::uint8_t { kWhole, kCut };
-struct EndAnswer {  // the explicit end event, or a typed error event
+struct EndAnswer {  // sends the explicit end event or a typed error event
   StreamId stream;
   AnswerEnd end = AnswerEnd::kWhole;
   std::string kind;
   bool mayHaveRun = true;
   Piece next;
 };
-struct DeclineStream {  // the final answer, at once
+struct DeclineStream {  // rejects the stream
   StreamId stream;
   int status = 503;
   std::string kind;
@@ -83,13 +84,13 @@
   std::string field;
   std::string requestId;
 };
-struct AnswerWeb {  // an operator's or a caller's short answer
+struct AnswerWeb {  // the response to an operator or a unary caller
   TicketId ticket;
   int status = 200;
   Headers headers;
   std::string body;
 };
-struct NoteState {  // a log line for a change of state
+struct NoteState {  // logs a state change
   std::string text;
 };
 using Command =
@@ -115,9 +116,9 @@
 };
 struct StreamRequest {
   StreamId stream;
-  Headers headers;  // names in lower case
+  Headers headers;  // lower-case names
   std::string body;
-  bool unary = false;  // a short call to the desk application
+  bool unary = false;  // a unary call to the desk application
 };
 struct CallerGone {
   StreamId stream;
@@ -127,8 +128,8 @@
   ShotId shot;
   ShotTurn turn = ShotTurn::kBroken;
   Piece piece;
-  std::string text;  // the piece, or the engine's reason
-  std::string echo;  // the request id as the engine gave it back
+  std::string text;  // the piece, or the engine's error
+  std::string echo;  // the request id that the engine echoed
   int status = 0;
 };
 struct OperatorRequest {
@@ -143,36 +144,36 @@
                  OperatorRequest, DrainRequest, EnginesListed, ReportAnswered, OrderAnswered,
                  PartsPolled, PartsListed, RequestArrived, RequestGone, ClientSlow, AttemptTurned>;
 
-/// Collects what a machine decides, with its counters. Example: `outbox.send(to, StateRequest{});`
+/// Collects a node's commands and counters.
 class Outbox {
  public:
-  /// Queues any command. Example: `outbox.push(CancelShot{shot});`
+  /// Queues a command.
   template <class T>
   void push(T command) {
     commands_.emplace_back(std::move(command));
   }
-  /// Queues a message. Example: `outbox.send(address, IndexRequest{});`
+  /// Queues a message to a member. A message to an empty address is dropped.
   template <class T>
   void send(const Address& to, T message) {
     if (!to.value.empty()) push(Send{to, Message{std::move(message)}});
   }
-  /// Queues one message to several members. Example: `outbox.broadcast(addresses, EngineUse{});`
+  /// Queues one message to several members.
   template <class T>
   void broadcast(std::vector<Address> to, T message) {
     if (to.empty()) return;
     push(Broadcast{std::move(to), std::make_shared<const Message>(std::move(message))});
   }
-  /// Raises a counter. Example: `outbox.count("shots.second");`
+  /// Increments a counter.
   void count(std::string_view name, std::uint64_t by = 1) {
     auto found = counters_.find(name);
     if (found == counters_.end()) counters_.emplace(std::string(name), by);
     else found->second += by;
   }
-  /// Hands over the commands so far. Example: `for (auto& command : outbox.take()) run(command);`
+  /// Removes and returns the queued commands.
   std::vector<Command> take() { return std::exchange(commands_, {}); }
-  /// The counters since the start. Example: `outbox.counters().at("streams.allowed")`.
+  /// The counters since the start of the process.
   const std::map<std::string, std::uint64_t, std::less<>>& counters() const { return counters_; }
-  /// A ticket not used before in this process. Example: `auto ticket = outbox.ticket();`
+  /// Returns a ticket that is unique within this process.
   TicketId ticket() { return {++lastTicket_}; }
 
  private:
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -1,23 +1,24 @@
 #pragma once
-// A small seeded generator, the same on every machine; each process has one.
+// A small seeded pseudorandom generator with the same sequence on every machine, one per process.
 #include <cstdint>
 #include <span>
 #include <utility>
 
 namespace peppergate {
 
-/// Example: `Random random(7); random.below(10);`
+/// The SplitMix64 generator.
 class Random {
  public:
-  // The seed is mixed first: else neighbouring seeds would give one sequence, shifted.
+  // The seed is hashed first: otherwise neighbouring seeds would give shifted copies of one
+  // sequence.
   explicit Random(std::uint64_t seed) : state_(mix(mix(seed + 0x1234567))) {}
-  /// The next 64 bits. Example: `MemberId{random.next()}`.
+  /// The next 64 random bits.
   std::uint64_t next() { return mix(state_ += 0x9e3779b97f4a7c15ULL); }
-  /// A number under a bound. Example: `random.below(6) < 6`.
+  /// A number in [0, bound); 0 if the bound is 0.
   std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : next() % bound; }
-  /// A fraction in [0, 1). Example: `random.fraction() < 1`.
+  /// A number in [0, 1).
   double fraction() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
-  /// Shuffles in place. Example: `random.shuffle(std::span(records));`
+  /// Shuffles the items in place.
   template <class T>
   void shuffle(std::span<T> items) {
     for (std::size_t index = items.size(); index > 1; --index)
--- a/src/core/remembered_changes.cc
+++ b/src/core/remembered_changes.cc
@@ -9,7 +9,7 @@
   return Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// An order as one text: its id, then its version, then its configuration's number.
+/// One record as text: change id, version and configuration version, separated by spaces.
 std::string entryText(const RememberedChange& change) {
   return change.id + " " + std::to_string(change.version.epoch.value) + "." +
          std::to_string(change.version.sequence.value) + " " + std::to_string(change.config.value);
@@ -17,7 +17,7 @@
 
 RememberedChange readEntry(const Json& entry) {
   RememberedChange change;
-  if (entry.is_object()) {  // as earlier releases wrote it
+  if (entry.is_object()) {  // the format of earlier releases
     change.id = entry.at("id").get<std::string>();
     fromJson(entry.at("version"), change.version);
     return change;
@@ -27,7 +27,7 @@
   const auto version = number == std::string::npos ? number : text.rfind(' ', number - 1);
   const auto dot = version == std::string::npos ? version : text.find('.', version);
   if (dot == std::string::npos)
-    throw Json::other_error::create(501, "an order that was taken is unreadable", nullptr);
+    throw Json::other_error::create(501, "malformed record of an applied change", nullptr);
   change.id = text.substr(0, version);
   change.version.epoch = {std::strtoull(text.c_str() + version + 1, nullptr, 10)};
   change.version.sequence = {std::strtoull(text.c_str() + dot + 1, nullptr, 10)};
--- a/src/core/remembered_changes.h
+++ b/src/core/remembered_changes.h
@@ -1,10 +1,11 @@
 #pragma once
-// The orders that were taken last, so that one sent again is acknowledged again.
+// Deduplication records of the most recently applied changes, so that a repeated change is
+// acknowledged again instead of being applied twice.
 //
-// Bound by count: at least the last `limit` orders are kept, and fewer than a block more. Bound by
-// age, in versions: what is older is forgotten for good, and two marks tell how far. An order that
-// a mark covers may have been taken and forgotten; it has to be left without a clear answer.
-// There is no bound in seconds: no clock is shared by the machines that lead in turn.
+// At least the last `limit` changes are kept, and fewer than one block more. Older records are
+// evicted, and two high-water marks record the highest versions among them. A change that a mark
+// covers may have been applied and evicted, so it must get neither an acknowledgement nor a
+// refusal. There is no limit in seconds, because successive leaders share no clock.
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -18,42 +19,42 @@
 
 namespace peppergate {
 
-/// An order that was taken.
+/// The record of an applied change.
 struct RememberedChange {
   std::string id;
-  SectionVersion version;  // that its acknowledgement names
-  ConfigVersion config;    // the configuration that it brought; 0: it brought none
+  SectionVersion version;  // as acknowledged
+  ConfigVersion config;    // of the fleet's configuration that it carried; 0 if none
 };
 
-/// How far the memory of orders reaches back; zero: everything is remembered.
+/// High-water marks of the evicted records; zero if none was evicted.
 struct ForgottenChanges {
-  SectionVersion version;  // the highest that a forgotten order made
-  ConfigVersion config;    // the highest configuration that a forgotten order brought
+  SectionVersion version;  // the highest that an evicted change created
+  ConfigVersion config;    // the highest configuration that an evicted change carried
 };
 
-/// Copies share all but the newest orders, so a copy costs little.
+/// Copies share all blocks but the newest one, so copying is cheap.
 class RememberedChanges {
  public:
-  /// The version that an order was acknowledged with; null if it isn't remembered.
+  /// The version that a change was acknowledged with; null if there is no record of it.
   const SectionVersion* find(const std::string& id) const;
-  /// Adds an order that isn't remembered yet, then forgets the oldest beyond the limit.
+  /// Adds a change that has no record yet, then evicts the oldest records beyond the limit.
   void add(RememberedChange change, std::size_t limit);
   const ForgottenChanges& forgotten() const { return forgotten_; }
   std::size_t size() const;
 
-  /// The orders as a JSON list, oldest first, as `read` takes it.
+  /// The records as a JSON list, oldest first, in the format that `read` parses.
   std::string text() const;
-  /// The marks as a JSON object, as `read` takes it.
+  /// The high-water marks as a JSON object, in the format that `read` parses.
   std::string forgottenText() const;
-  /// Reads both; throws nlohmann's typed exceptions when the shape is wrong. Also takes the list
-  /// of objects that earlier releases wrote, which had no marks.
+  /// Parses both; throws a Json::exception if the format is wrong. Also accepts the list of objects
+  /// without marks that earlier releases wrote.
   static RememberedChanges read(const Json& changes, const Json& forgotten);
 
  private:
-  /// Orders that were taken in a row; a full one never changes.
+  /// Consecutive records; a full block is immutable.
   struct Block {
     std::unordered_map<std::string, SectionVersion> versions;
-    std::string text;  // of the JSON list, without its brackets
+    std::string text;  // the JSON list without its brackets
     ForgottenChanges highest;
     void add(const RememberedChange& change);
   };
--- a/src/core/schemas.cc
+++ b/src/core/schemas.cc
@@ -185,8 +185,8 @@
   valijson::adapters::NlohmannJsonAdapter target(document);
   valijson::ValidationResults results;
   if (validator.validate(compiledFor(schema), target, &results)) return std::nullopt;
-  FieldFault fault{"<root>", "does not fit the schema"};
-  // Of the reported faults the deepest names the field best.
+  FieldFault fault{"<root>", "does not match the schema"};
+  // The most deeply nested of the reported violations identifies the field best.
   valijson::ValidationResults::Error error;
   std::size_t deepest = 0;
   while (results.popError(error)) {
--- a/src/core/schemas.h
+++ b/src/core/schemas.h
@@ -1,5 +1,6 @@
 #pragma once
-// JSON schemas of what operators send, and the check that names the wrong field.
+// JSON schemas of the documents that operators and clients send, and the validation that reports
+// the invalid field.
 #include <map>
 #include <optional>
 #include <string>
@@ -11,31 +12,29 @@
 
 enum class SchemaName : std::uint8_t { kChange, kStream, kEngineList, kPlacement };
 
-/// Which field is wrong and how.
+/// The path of an invalid field and what is wrong with it.
 struct FieldFault {
   std::string field;
   std::string detail;
 };
 
-/// How deep a document may be nested; deeper ones count as unreadable.
+/// Maximum nesting depth; documents nested more deeply are rejected.
 inline constexpr std::size_t kDeepestDocument = 128;
 
-/// Reads a document from outside; what is no JSON or nested too deep comes back discarded.
-/// Example: `if (parseDocument(body).is_discarded()) decline();`
+/// Parses an untrusted document. Returns a discarded value if it is not JSON or nested too deeply.
 Json parseDocument(std::string_view text);
 
-/// The texts at the top of an object, for whoever passes the object on without building it.
+/// The string fields at the top level of an object, for callers that forward the object unparsed.
 struct DocumentHead {
-  bool readable = false;  // a whole JSON object, not nested too deep
+  bool readable = false;  // a complete JSON object within the nesting limit
   std::map<std::string, std::string, std::less<>> texts;
 };
-/// Reads a document's top texts, one pass and no tree. Example: `readHead(body).texts["kind"]`.
+/// Reads the top-level string fields in one pass, without building a document tree.
 DocumentHead readHead(std::string_view text);
 
-/// Checks a document; the first fault with its field, if any.
-/// Example: `checkSchema(SchemaName::kChange, Json::parse(body))`.
+/// Validates a document against a schema. Returns the most deeply nested violation, if any.
 std::optional<FieldFault> checkSchema(SchemaName schema, const Json& document);
-/// The schema's own text, as `peppergate setup schema` prints it. Example: `schemaFor(...)`.
+/// The schema's JSON text, as `peppergate setup schema` prints it.
 std::string_view schemaFor(SchemaName schema);
 
 }  // namespace peppergate
--- a/src/core/section_readers.cc
+++ b/src/core/section_readers.cc
@@ -1,4 +1,4 @@
-// Reads the sections of the control state as daemons use them.
+// Parses the sections of the control state into the types that daemons use.
 #include "core/control_state.h"
 
 namespace peppergate {
@@ -6,7 +6,7 @@
 absl::StatusOr<Setup> readSetup(const std::string& text) {
   Setup setup;
   Json document = Json::parse(text, nullptr, false);
-  if (document.is_discarded()) return absl::DataLossError("setup section is no JSON");
+  if (document.is_discarded()) return absl::DataLossError("setup section is not JSON");
   try {
     for (const auto& rung : document.at("rungs"))
       setup.rungs.push_back({rung.at("name"), rung.at("rate")});
@@ -42,7 +42,7 @@
 absl::StatusOr<Keys> readKeys(const std::string& text) {
   Keys keys;
   Json document = Json::parse(text, nullptr, false);
-  if (document.is_discarded()) return absl::DataLossError("keys section is no JSON");
+  if (document.is_discarded()) return absl::DataLossError("keys section is not JSON");
   try {
     for (const auto& [digest, tenant] : document.at("live").items())
       keys.live[{digest}] = {tenant.get<std::string>()};
@@ -56,7 +56,7 @@
 
 absl::StatusOr<Weights> readWeights(const std::string& text) {
   Json document = Json::parse(text, nullptr, false);
-  if (document.is_discarded()) return absl::DataLossError("weights section is no JSON");
+  if (document.is_discarded()) return absl::DataLossError("weights section is not JSON");
   Weights weights;
   try {
     weights.version = {document.at("version").get<std::uint64_t>()};
--- a/src/core/spread_broadcast.h
+++ b/src/core/spread_broadcast.h
@@ -1,5 +1,5 @@
 #pragma once
-// What one member tells many others, in portions: a thin link is never filled by it for long.
+// Broadcasts to many receivers in portions, so that a slow link is never saturated for long.
 #include <deque>
 #include <memory>
 #include <vector>
@@ -9,20 +9,21 @@
 
 namespace peppergate {
 
-/// Sends the messages of one round to portions of their receivers, spread evenly over a time. Each
-/// receiver gets the messages of one round together, and rounds in the order in which they began.
+/// Sends the messages of a round to portions of its receivers, spread evenly over a time span. Each
+/// receiver gets the messages of a round together, and the rounds in the order of their start.
 class SpreadBroadcast {
  public:
   static constexpr std::size_t kUsualPortion = 8;
-  /// `portion`: receivers that may always be told at once.
+  /// `portion`: the number of receivers that may always be served at once.
   explicit SpreadBroadcast(std::size_t portion = kUsualPortion) : portion_(portion) {}
-  /// Begins a round that reaches the last receiver within `span`.
+  /// Starts a round that reaches the last receiver within `span`.
   void begin(std::vector<Address> receivers, std::vector<Message> messages, Duration span,
              MonotonicTime now);
-  /// The same to the receivers of one round: relays get copies marked for passing on, and first.
+  /// Starts a round for relays, whose copies are marked for forwarding, and then one for the direct
+  /// receivers.
   void beginRelayed(RelayTargets targets, std::vector<Message> messages, Duration span,
                     MonotonicTime now);
-  /// Sends what is due. Call it with each tick, and after `begin`.
+  /// Sends the messages that are due. To be called on each tick and after `begin`.
   void tick(MonotonicTime now, Outbox& outbox);
   bool idle() const { return rounds_.empty(); }
 
@@ -32,7 +33,7 @@
     std::vector<std::shared_ptr<const Message>> messages;
     MonotonicTime began;
     Duration span;
-    std::size_t sent = 0;  // receivers that have theirs
+    std::size_t sent = 0;  // number of receivers served
   };
   std::size_t due(const Round& round, MonotonicTime now) const;
 
@@ -40,7 +41,8 @@
   std::deque<Round> rounds_;
 };
 
-/// How a relay passes on what it hears: many senders' news may reach it in one moment.
+/// Pacing of a relay's forwarding, which is low because messages of many senders may arrive at
+/// once.
 inline constexpr std::size_t kRelayPortion = 2;
 inline constexpr Duration kRelaySpan = milliseconds(200);
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,12 +1,12 @@
 #pragma once
-// Small types for ids, versions and times, so that none can be taken for another.
+// Strong types for ids, versions and times, which the compiler keeps from being mixed up.
 #include <compare>
 #include <cstdint>
 #include <string>
 
 namespace peppergate {
 
-/// A number with a meaning of its own. Example: `Epoch{3} < Epoch{4}`.
+/// A value that is distinguished from others of the same representation by its tag.
 template <class Tag, class Representation>
 struct Tagged {
   Representation value{};
@@ -15,10 +15,10 @@
 
 using Epoch = Tagged<struct EpochTag, std::uint64_t>;
 using Sequence = Tagged<struct SequenceTag, std::uint64_t>;
-using MemberId = Tagged<struct MemberIdTag, std::uint64_t>;  // one life of one process
+using MemberId = Tagged<struct MemberIdTag, std::uint64_t>;  // one run of one process
 using CoreId = Tagged<struct CoreIdTag, std::uint64_t>;      // one disk of one core machine
 using WeightsVersion = Tagged<struct WeightsTag, std::uint64_t>;
-using EngineLife = Tagged<struct EngineLifeTag, std::uint64_t>;  // one life of one engine
+using EngineLife = Tagged<struct EngineLifeTag, std::uint64_t>;  // one run of one engine
 using ListVersion = Tagged<struct ListVersionTag, std::uint64_t>;
 using StreamId = Tagged<struct StreamIdTag, std::uint64_t>;
 using ShotId = Tagged<struct ShotIdTag, std::uint64_t>;
@@ -33,7 +33,7 @@
 using PartName = Tagged<struct PartNameTag, std::string>;
 using LinkId = Tagged<struct LinkIdTag, std::string>;
 
-/// A length of time in microseconds. Example: `seconds(1.5) == milliseconds(1500)`.
+/// A duration in microseconds.
 struct Duration {
   std::int64_t microseconds = 0;
   auto operator<=>(const Duration&) const = default;
@@ -44,18 +44,15 @@
   }
 };
 
-/// Makes a duration. Example: `milliseconds(300)`.
 constexpr Duration milliseconds(std::int64_t count) { return {count * 1000}; }
-/// Makes a duration from a fraction of seconds. Example: `seconds(0.9)`.
 constexpr Duration seconds(double count) { return {static_cast<std::int64_t>(count * 1e6)}; }
-/// Reads a duration as seconds. Example: `inSeconds(milliseconds(1500)) == 1.5`.
 constexpr double inSeconds(Duration duration) {
   return static_cast<double>(duration.microseconds) / 1e6;
 }
-/// Reads a duration as whole milliseconds. Example: `inMilliseconds(seconds(1.5)) == 1500`.
+/// The duration in milliseconds, truncated.
 constexpr std::int64_t inMilliseconds(Duration duration) { return duration.microseconds / 1000; }
 
-/// A point on the machine's boot clock; it never jumps and means nothing elsewhere.
+/// A point on the machine's monotonic boot clock; not comparable between machines.
 struct MonotonicTime {
   std::int64_t microseconds = 0;
   auto operator<=>(const MonotonicTime&) const = default;
@@ -65,13 +62,13 @@
     return {microseconds - other.microseconds};
   }
 };
-/// Long before any event. Example: `proof = kNever` marks a front that never had a proof.
+/// Earlier than any event; marks an event that never happened.
 inline constexpr MonotonicTime kNever{-1'000'000'000'000};
 
-/// After any event.
+/// Later than any event.
 inline constexpr MonotonicTime kForever{INT64_MAX};
 
-/// The place of an acknowledged state in history. Example: `SectionVersion{{2},{1}} > {{1},{9}}`.
+/// The position of a state in the history of changes, ordered by epoch, then by sequence number.
 struct SectionVersion {
   Epoch epoch;
   Sequence sequence;
@@ -83,7 +80,7 @@
   }
 };
 
-/// Writes a version as operators read it. Example: `versionText({{2},{7}}) == "2.7"`.
+/// The version as "EPOCH.SEQUENCE", as in the operators' API.
 inline std::string versionText(const SectionVersion& version) {
   return std::to_string(version.epoch.value) + "." + std::to_string(version.sequence.value);
 }
--- a/src/core/zone_relay.cc
+++ b/src/core/zone_relay.cc
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kFewestForRelay = 4;  // routers of a zone; fewer are told directly
+constexpr std::size_t kFewestForRelay = 4;  // in a zone; smaller zones are served directly
 
 }  // namespace
 
@@ -19,7 +19,7 @@
   RelayTargets targets;
   for (const auto& [zone, members] : zones) {
     if (zone != self.zone && members.size() >= kFewestForRelay) {
-      // Each sender begins at another place, so that a zone's routers share the forwarding.
+      // Each sender starts at a different index, so that a zone's routers share the forwarding.
       std::size_t place = (Random(self.member.value).next() + turn) % members.size();
       targets.relays.push_back(members[place]->address);
       continue;
--- a/src/core/zone_relay.h
+++ b/src/core/zone_relay.h
@@ -1,6 +1,6 @@
 #pragma once
-// Which members a router tells itself, and which of them pass it on: traffic between zones is dear,
-// so every other zone is told through one of its routers.
+// Selects the receivers of a router's broadcasts. Traffic between zones is expensive, so every
+// other zone gets one copy, which one of its routers relays.
 #include <span>
 #include <string>
 #include <vector>
@@ -9,18 +9,19 @@
 
 namespace peppergate {
 
-/// Receivers of one round. No address stands in both lists.
+/// The receivers of one round. The lists have no address in common.
 struct RelayTargets {
-  std::vector<Address> direct;  // told by the sender itself, and nobody else by them
-  std::vector<Address> relays;  // one router of each other zone that is large enough
+  std::vector<Address> direct;  // served by the sender; they forward nothing
+  std::vector<Address> relays;  // one router of each other zone with enough routers
 };
 
-/// The receivers of what `self` tells all routers. Zones with few routers are told directly. `turn`
-/// chooses between the routers of a zone: rounds that use several turns outlive a dead relay.
+/// The receivers of a broadcast from `self` to all routers. Zones with few routers are served
+/// directly. `turn` selects the relay among the routers of a zone; alternating it between rounds
+/// keeps a dead relay from cutting off its zone.
 RelayTargets relayTargets(std::span<const MemberRecord> routers, const MemberRecord& self,
                           std::uint64_t turn);
 
-/// The other routers of the zone of `self`: the receivers of what a relay passes on.
+/// The other routers in the zone of `self`, to which a relay forwards messages.
 std::vector<Address> zonePeers(std::span<const MemberRecord> routers, const MemberRecord& self);
 
 }  // namespace peppergate
