--- a/tests/config_cores_test.cc
+++ b/tests/config_cores_test.cc
@@ -1,4 +1,5 @@
-// The configuration through whole machines: three cores and a front that talk without delay.
+// Changes and reads of the fleet's configuration in a fleet of three cores and a router, on a
+// network without delay.
 #include "tests/config_machines.h"
 
 using namespace peppergate;
@@ -8,11 +9,11 @@
   void settle() {
     for (int turn = 0; turn < 100 && !machines.primary(); ++turn) machines.run(0.1);
     CHECK(machines.primary().has_value());
-    machines.run(2);  // until there is a backup and the front is in touch
+    machines.run(2);  // until there is a backup and the router has contact
   }
 };
 
-TEST(ConfigCores, WhatIsAcknowledgedIsReadBackAtEveryListener) {
+TEST(ConfigCores, AcknowledgedConfigurationIsReadOnEveryMachine) {
   settle();
   for (int index = 0; index <= kFront; ++index)
     LONGS_EQUAL(404, machines.ask(index, "GET", "/config").status);
@@ -22,12 +23,12 @@
     LONGS_EQUAL(200, web.status);
     STRCMP_EQUAL(R"({"config":{"by":"a","version":5},"version":5})", web.body.c_str());
   }
-  // The primary needs no question.
+  // The primary answers a read at once, without a proof from another machine.
   TicketId ticket = machines.send(*machines.primary(), "GET", "/config");
   CHECK(machines.answerTo(ticket) != nullptr && machines.answerTo(ticket)->status == 200);
 }
 
-TEST(ConfigCores, TwoAtOnceOnOneBaseAreOneDoneAndOneStale) {
+TEST(ConfigCores, OfTwoConcurrentChangesOnOneBaseOneIsStale) {
   settle();
   LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
   TicketId one = machines.send(1, "POST", "/change", change("b", 5, 7));
@@ -43,10 +44,10 @@
   LONGS_EQUAL(200, machines.ask(2, "POST", "/change", change("a", 0, 5)).status);  // again
 }
 
-TEST(ConfigCores, ARepeatedOrderWaitsForRoutersAfterAChangeOfLeader) {
+TEST(ConfigCores, RepeatedChangeWaitsForRoutersAfterLeaderChange) {
   settle();
   LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
-  machines.kill(kFront);  // not counted as dead yet: it may act on an older proof
+  machines.kill(kFront);  // not yet considered dead: it may act on an older proof
   machines.kill(*machines.primary());
   for (int turn = 0; turn < 100 && !machines.primary(); ++turn) machines.run(0.05);
   CHECK(machines.primary().has_value());
@@ -57,7 +58,7 @@
   CHECK(machines.answerTo(ticket) != nullptr && machines.answerTo(ticket)->status == 200);
 }
 
-TEST(ConfigCores, AChangeAndAReadingOutlastAPrimary) {
+TEST(ConfigCores, ChangeAndReadSurvivePrimaryFailure) {
   settle();
   LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
   int lost = *machines.primary();
--- a/tests/config_desk_test.cc
+++ b/tests/config_desk_test.cc
@@ -1,4 +1,4 @@
-// What a daemon does with operators' changes and readings while primaries come and go.
+// Operators' changes and configuration reads at a daemon while primaries fail and change.
 #include <cmath>
 #include <optional>
 #include <string>
@@ -17,7 +17,7 @@
 constexpr const char* kChange =
     R"({"changeId":"c1","kind":"replace","basedOnVersion":0,"config":{"version":1}})";
 
-/// A time in whole milliseconds, so that sums of ticks meet it exactly. Example: `when(1.3)`.
+/// A time rounded to whole milliseconds, so that sums of ticks reach it exactly.
 MonotonicTime when(double second) {
   return MonotonicTime{} + milliseconds(std::llround(second * 1000));
 }
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_GROUP(Desk) {
+TEST_GROUP(OperatorHandlers) {
   Options options;
   Random random{1};
   Outbox outbox;
@@ -65,7 +65,7 @@
   void read(double second) {
     desk.take({{++lastTicket}, "GET", "/config", ""}, when(second), outbox);
   }
-  /// Ticks up to a time and gives all commands from then on.
+  /// Ticks every 50 ms from `from` to `to` and returns all commands.
   std::vector<Command> until(double from, double to) {
     for (MonotonicTime now = when(from); now <= when(to); now = now + milliseconds(50))
       desk.tick(now, outbox);
@@ -74,11 +74,11 @@
   void answer(TicketId ticket, ChangeOutcome outcome, double second) {
     ChangeReply change;
     change.ticket = ticket;
-    change.changeId = "c1";  // as the primary echoes it
+    change.changeId = "c1";  // echoed by the primary
     change.outcome = outcome;
     desk.hear(change, when(second), outbox);
   }
-  /// The primary's answer to a question sent at `asked`.
+  /// Delivers the primary's reply to a state request sent at `asked`.
   void proof(const ControlState& state, double asked, double heard, Duration age = {}) {
     StateReply news;
     news.sentAt = when(asked);
@@ -103,14 +103,14 @@
   }
 };
 
-TEST(Desk, WithoutAKnownPrimaryAChangeWaitsNearlyASecond) {
+TEST(OperatorHandlers, WithoutAPrimaryAChangeFailsAfter900Milliseconds) {
   post(kChange, 1);
   CHECK(taken<AnswerWeb>(until(1, 1.9)).empty());
   answered(until(1.95, 2), 503, "no-primary");
   CHECK(outbox.take().empty());
 }
 
-TEST(Desk, APrimaryThatAppearsGetsTheChangeAtOnce) {
+TEST(OperatorHandlers, ANewlyKnownPrimaryGetsTheChangeAtOnce) {
   post(kChange, 1);
   until(1, 1.5);
   knowPrimary();
@@ -122,8 +122,9 @@
   answered(outbox.take(), 200, "done");
 }
 
-TEST(Desk, AnAnswerToAnOrderOfAnEarlierLifeIsNotPassedOn) {
-  // Tickets begin anew with each life, so the answer to a lost order may bear a new one's ticket.
+TEST(OperatorHandlers, AReplyToAChangeFromBeforeARestartIsDropped) {
+  // Tickets restart with each process, so a reply to a change from before a restart may carry the
+  // ticket of a new change.
   knowPrimary();
   TicketId ticket = post(kChange, 1);
   outbox.take();
@@ -139,7 +140,7 @@
   answered(outbox.take(), 200, "done");
 }
 
-TEST(Desk, AnUnansweredChangeIsRepeatedAndANewPrimaryAskedAtOnce) {
+TEST(OperatorHandlers, AnUnansweredChangeIsResentAndSentToANewPrimaryAtOnce) {
   knowPrimary();
   post(kChange, 1);
   LONGS_EQUAL(1, messages<ChangeRequest>(outbox.take()).size());
@@ -157,7 +158,7 @@
   answered(until(7.05, 7.1), 504, "lost");
 }
 
-TEST(Desk, RefusalsAreTriedAgainForAWhile) {
+TEST(OperatorHandlers, TemporaryRefusalsAreRetried) {
   knowPrimary();
   for (auto outcome :
        {ChangeOutcome::kNoBackup, ChangeOutcome::kNotPrimary, ChangeOutcome::kLost}) {
@@ -180,7 +181,7 @@
   answered(outbox.take(), 503, "no-backup");
 }
 
-TEST(Desk, FinalAnswersPassAtOnce) {
+TEST(OperatorHandlers, FinalOutcomesAreForwardedAtOnce) {
   knowPrimary();
   TicketId ticket = post(kChange, 1);
   outbox.take();
@@ -200,7 +201,7 @@
   answered(outbox.take(), 400, "invalid");
 }
 
-TEST(Desk, UnreadableOrTooLargeChangesEndHere) {
+TEST(OperatorHandlers, InvalidOrTooLargeChangesAreNotForwarded) {
   knowPrimary();
   for (const char* body : {"", "{", "[]", "3", R"({"changeId":"a"} x)", R"({"changeId":"a")"}) {
     post(body, 1);
@@ -219,7 +220,7 @@
   answered(outbox.take(), 413, "too-large");
 }
 
-TEST(Desk, KeysLeaveAsDigestsOnly) {
+TEST(OperatorHandlers, KeysAreForwardedAsDigestsOnly) {
   knowPrimary();
   post(R"({"changeId":"k","kind":"key-withdraw","key":"secret"})", 1);
   auto asks = messages<ChangeRequest>(outbox.take());
@@ -229,7 +230,7 @@
   LONGS_EQUAL(1, follower.recentWithdrawn().size());
 }
 
-TEST(Desk, LargeChangesAreNotPiledUp) {
+TEST(OperatorHandlers, LargeChangesAreResentLessOftenAndLimited) {
   knowPrimary();
   std::string padding(4'000'000, 'x');
   post(R"({"changeId":"l","x":")" + padding + R"("})", 1);
@@ -242,7 +243,7 @@
   answered(outbox.take(), 503, "busy");
 }
 
-TEST(Desk, TheConfigurationIsReadOnlyWithAProofFromAfterTheRequest) {
+TEST(OperatorHandlers, AReadNeedsAProofRequestedAfterIt) {
   knowPrimary();
   ControlState state = ControlState::founded({1});
   state.apply(R"({"kind":"replace","basedOnVersion":0,"config":{"version":3,"odd":1.50}})", "c",
@@ -254,7 +255,7 @@
   AnswerWeb web = onlyAnswer(outbox.take());
   LONGS_EQUAL(200, web.status);
   STRCMP_EQUAL(R"({"config":{"odd":1.5,"version":3},"version":3})", web.body.c_str());
-  // A proof whose question was sent before is none for the next reader, nor is an old relay's.
+  // A proof that was requested before the read doesn't count, nor does an aged proof from a relay.
   read(2);
   outbox.take();
   proof(state, 1, 2.01);
@@ -264,7 +265,7 @@
   LONGS_EQUAL(200, onlyAnswer(outbox.take()).status);
 }
 
-TEST(Desk, ReadersAskAgainAndGiveUp) {
+TEST(OperatorHandlers, ReadsRetryAndTimeOut) {
   knowPrimary();
   read(1);
   outbox.take();
@@ -275,7 +276,7 @@
   LONGS_EQUAL(0, taken<AnswerWeb>(until(3.65, 5)).size());
 }
 
-TEST(Desk, BeforeAnyConfigurationThereIsNone) {
+TEST(OperatorHandlers, AReadBeforeTheFirstConfigurationIsNotFound) {
   knowPrimary();
   read(1);
   proof(ControlState::founded({1}), 1, 1.01);
@@ -284,11 +285,11 @@
   LONGS_EQUAL(405, onlyAnswer(outbox.take()).status);
 }
 
-TEST(Desk, AChangeThatNoLeaderShowedIsNotRead) {
+TEST(OperatorHandlers, AChangeThatNoLeaderPublishedIsNotRead) {
   knowPrimary();
   ControlState shown = ControlState::founded({1});
   shown.apply(R"({"kind":"replace","basedOnVersion":0,"config":{"version":3}})", "c", {1}, options);
-  ControlState replica = shown;  // holds one change more, which was never acknowledged
+  ControlState replica = shown;  // has one more change, which was never acknowledged
   replica.apply(R"({"kind":"replace","basedOnVersion":3,"config":{"version":4}})", "d", {1},
                 options);
   StateReply held;
@@ -299,14 +300,14 @@
   follower.adopt(held, when(0.5), outbox);
   know(12, kSecondAddress, kSecond, 0);
   read(1);
-  std::optional<MonotonicTime> relayAsked;  // each question has a stamp of its own
+  std::optional<MonotonicTime> relayAsked;  // each request has its own timestamp
   for (const auto& send : taken<Send>(outbox.take()))
     if (auto* request = std::get_if<StateRequest>(&send.message); request != nullptr)
       if (send.to == kSecondAddress) relayAsked = request->sentAt;
   CHECK(relayAsked.has_value());
   proof(shown, 1, 1.01);
   CHECK(taken<AnswerWeb>(outbox.take()).empty());
-  // A relay that holds the same change passes on what the leader showed it, not what it holds.
+  // A relay with the same change names the versions that the leader published, not its own.
   StateReply relayed = held;
   relayed.sentAt = *relayAsked;
   relayed.proof = true;
@@ -320,7 +321,7 @@
   LONGS_EQUAL(4, Json::parse(web.body)["version"].get<int>());
 }
 
-TEST(Desk, TheSetupPageTellsNoKeysOfTheConfiguration) {
+TEST(OperatorHandlers, TheSetupPageContainsNoKeys) {
   knowPrimary();
   ControlState state = ControlState::founded({1});
   state.apply(R"({"kind":"replace","basedOnVersion":0,"config":{"version":3,
--- a/tests/config_orders_test.cc
+++ b/tests/config_orders_test.cc
@@ -1,4 +1,5 @@
-// Orders that are sent again: acknowledged again, or left without a clear answer, never refused.
+// Changes that operators repeat: one that was applied is acknowledged again or, once its record was
+// evicted, answered with "lost"; it is never refused.
 #include "core/control_state.h"
 #include "tests/config_machines.h"
 
@@ -21,7 +22,7 @@
 
 }  // namespace
 
-TEST_GROUP(Orders) {
+TEST_GROUP(RepeatedChanges) {
   ControlState state = ControlState::founded({1});
   Options options;
 
@@ -31,7 +32,7 @@
   void taken(const Json& change, const std::string& id) {
     CHECK(apply(change, id) == ChangeOutcome::kDone);
   }
-  /// The state as a replica, or this machine after a restart, has it.
+  /// Replaces the state by its serialized and parsed copy, as a replica or a restart does.
   void throughDisk() {
     auto parsed = ControlState::parse(state.text());
     CHECK(parsed.ok());
@@ -46,14 +47,14 @@
   }
 };
 
-TEST(Orders, OneThatWasTakenIsAcknowledgedAgainAfterHundredsOfChanges) {
+TEST(RepeatedChanges, IsAcknowledgedAgainAfterHundredsOfChanges) {
   takeUpTo(700);
   throughDisk();
   for (std::uint64_t version : {1, 2, 350, 699, 700}) taken(orderOf(version), idOf(version));
   LONGS_EQUAL(700, state.configVersion().value);
 }
 
-TEST(Orders, OneThatChangedNothingIsRememberedToo) {
+TEST(RepeatedChanges, ChangeWithoutEffectIsRecorded) {
   taken(replaceWith(0, configOf(5)), "first");
   taken(replaceWith(0, configOf(5)), "the-same-from-another");
   taken(replaceWith(5, configOf(7)), "next");
@@ -63,16 +64,16 @@
   LONGS_EQUAL(7, state.configVersion().value);
 }
 
-TEST(Orders, OneThatChangedNothingIsRememberedByReplicas) {
+TEST(RepeatedChanges, ChangeWithoutEffectIsReplicated) {
   taken(replaceWith(0, configOf(5)), "first");
   SectionVersion before = state.version();
   SectionVersions sections = state.sections();
   taken(replaceWith(0, configOf(5)), "the-same-from-another");
-  CHECK(state.version() > before);  // so that the new state is written and replicated
+  CHECK(state.version() > before);  // otherwise the record would be neither written nor replicated
   CHECK(state.sections() == sections);
 }
 
-TEST(Orders, AKeyThatWasAddedAndWithdrawnIsAcknowledgedAgain) {
+TEST(RepeatedChanges, AddingAKeyThatWasWithdrawnSinceIsAcknowledgedAgain) {
   Json stamp{{"kind", "apply"},
              {"basedOn", versionText(state.sections().setup)},
              {"setup", Json::parse(R"({"rungs":[{"name":"whole","rate":8}],
@@ -83,14 +84,14 @@
   const std::string digest(32, 'a');
   Json add{{"kind", "key-add"}, {"tenant", "red"}, {"digest", digest}};
   taken(add, "add");
-  taken(add, "add-again");  // changes nothing
+  taken(add, "add-again");  // has no effect
   taken({{"kind", "key-withdraw"}, {"digest", digest}}, "withdraw");
   taken(add, "add");
   taken(add, "add-again");
   CHECK(apply(add, "add-anew") == ChangeOutcome::kInvalid);
 }
 
-TEST(Orders, BeyondTheBoundATakenOrderIsLeftOpenAndNeverRefused) {
+TEST(RepeatedChanges, ChangeWithEvictedRecordIsAnsweredAsLost) {
   options.rememberedChanges = 128;
   takeUpTo(600);
   throughDisk();
@@ -106,19 +107,19 @@
   CHECK(remembered < 128 + 64);
 }
 
-TEST(Orders, WhatCannotHaveBeenForgottenIsStillRefused) {
+TEST(RepeatedChanges, ChangeThatCannotHaveBeenEvictedIsRefused) {
   options.rememberedChanges = 128;
   takeUpTo(600);
-  // The loser of a race has a number above all that was forgotten.
+  // The loser of a race has a version above those of all evicted records.
   CHECK(apply(replaceWith(599, configOf(600, "other")), "loser") == ChangeOutcome::kStale);
   CHECK(apply(replaceWith(3, configOf(900)), "old-base") == ChangeOutcome::kStale);
-  // An order on the newest version was never taken, whatever its number.
+  // A change based on the current version was never applied, whatever its own version is.
   CHECK(apply(replaceWith(600, configOf(4)), "low") == ChangeOutcome::kInvalid);
-  // What no configuration ever was is no forgotten order.
+  // A change without a configuration was never valid, so its record cannot have been evicted.
   CHECK(apply({{"kind", "replace"}, {"basedOnVersion", 3}}, "none") == ChangeOutcome::kInvalid);
 }
 
-TEST(Orders, SetupsBeyondTheBoundAreLeftOpenToo) {
+TEST(RepeatedChanges, WeightsChangeWithEvictedRecordIsAnsweredAsLost) {
   options.rememberedChanges = 64;
   auto weights = [&](const std::string& label, const std::string& base) {
     return Json{{"kind", "weights"}, {"label", label}, {"basedOn", base}};
@@ -134,7 +135,7 @@
   CHECK(apply(weights("new", bases[198]), "loser") == ChangeOutcome::kStale);
 }
 
-TEST(Orders, TheListOfEarlierReleasesIsRead) {
+TEST(RepeatedChanges, RecordsOfEarlierReleasesAreParsed) {
   takeUpTo(3);
   Json document = Json::parse(state.text());
   document["body"].erase("forgotten");
@@ -150,7 +151,7 @@
   CHECK((again.version == SectionVersion{{2}, {3}}));
 }
 
-TEST(Orders, AListThatIsNoneIsAnErrorAndNoCrash) {
+TEST(RepeatedChanges, MalformedRecordsAreAnError) {
   takeUpTo(2);
   for (const char* entry : {"\"\"", "\"id\"", "\"id 3\"", "\"id 3 4\"", "7", "{}", "null"}) {
     Json document = Json::parse(state.text());
@@ -159,7 +160,7 @@
   }
 }
 
-TEST(Orders, CopiesOfManyOrdersAreIndependent) {
+TEST(RepeatedChanges, CopiesOfTheRecordsAreIndependent) {
   takeUpTo(200);
   ControlState copy = state;
   takeUpTo(300);
@@ -167,7 +168,7 @@
   taken(orderOf(250), idOf(250));
 }
 
-TEST_GROUP(OrdersOfCores) {
+TEST_GROUP(CoreRepeatedChanges) {
   Machines machines;
   void settle() {
     for (int turn = 0; turn < 100 && !machines.primary(); ++turn) machines.run(0.1);
@@ -180,7 +181,7 @@
   }
 };
 
-TEST(OrdersOfCores, NoRefusalIsGivenOnADraftThatMayBeLost) {
+TEST(CoreRepeatedChanges, NoRefusalIsBasedOnAnUnsyncedDraft) {
   settle();
   LONGS_EQUAL(200, machines.ask(kFront, "POST", "/change", change("first", 0, 5)).status);
   int lead = *machines.primary();
@@ -188,7 +189,7 @@
   TicketId before = machines.send(kFront, "POST", "/change", change("before", 5, 6));
   TicketId winner = machines.send(kFront, "POST", "/change", change("winner", 6, 7));
   TicketId loser = machines.send(kFront, "POST", "/change", change("loser", 6, 8));
-  machines.releaseWrites(lead, false);  // now winner and loser are judged on one draft
+  machines.releaseWrites(lead, false);  // winner and loser are validated against the same draft
   machines.run(0.3);
   LONGS_EQUAL(200, statusOf(before));
   LONGS_EQUAL(0, statusOf(winner));
@@ -199,7 +200,7 @@
   LONGS_EQUAL(409, statusOf(loser));
 }
 
-TEST(OrdersOfCores, ALostDraftRefusesNobody) {
+TEST(CoreRepeatedChanges, ALostDraftRefusesNoChange) {
   settle();
   LONGS_EQUAL(200, machines.ask(kFront, "POST", "/change", change("first", 0, 5)).status);
   int lead = *machines.primary();
@@ -212,7 +213,7 @@
   machines.kill(lead);
   machines.run(6);
   LONGS_EQUAL(200, statusOf(before));
-  // Whichever of the two came through, a refusal names a version that is in force.
+  // Either of the two may have been applied; only the other may be refused.
   AnswerWeb read = machines.ask(kFront, "GET", "/config");
   LONGS_EQUAL(200, read.status);
   int version = bodyOf(read)["version"].get<int>();
@@ -223,7 +224,7 @@
   LONGS_EQUAL(version == 8 ? 200 : 409, loser.status);
 }
 
-TEST(OrdersOfCores, ATakenOrderIsAcknowledgedByANewLeaderAfterHundredsOfOthers) {
+TEST(CoreRepeatedChanges, ANewLeaderAcknowledgesARepeatedChangeAfterHundredsOfOthers) {
   settle();
   for (int version = 1; version <= 250; ++version)
     LONGS_EQUAL(200,
--- a/tests/config_state_test.cc
+++ b/tests/config_state_test.cc
@@ -1,4 +1,4 @@
-// Changes of the fleet's configuration and of models' weights in the control state.
+// Changes to the fleet's configuration and the models' weight versions in the control state.
 #include <algorithm>
 #include <string>
 
@@ -29,7 +29,8 @@
   return {{"kind", "amend"}, {"basedOnVersion", base}, {"amendment", Json::parse(amendment)}};
 }
 
-/// A configuration with so many routes on as many prefixes.
+/// A configuration with the given number of additional routes, each with its own prefix and a note
+/// of `padding` characters.
 Json largeConfig(std::uint64_t version, std::size_t routes, std::size_t padding) {
   Json config = configOf(version);
   std::string filler(padding, 'x');
@@ -67,7 +68,7 @@
   Json stored() { return Json::parse(state.setupText()).at("fleet"); }
 };
 
-TEST(FleetChanges, WhatWasSentIsReadBackValueForValue) {
+TEST(FleetChanges, ConfigurationIsStoredWithoutLossOfValues) {
   std::string sent = R"({"version":3,"zeta":1.0,"alpha":[370000.0,0.1,1e-7,123456789012345,-0.0,)"
                      R"("\u0001\u20ac\"\\",{},[],null,false],"routes":[]})";
   std::string change = R"({"kind":"replace","basedOnVersion":0,"config":)" + sent + "}";
@@ -80,7 +81,7 @@
   LONGS_EQUAL(3, parsed->configVersion().value);
 }
 
-TEST(FleetChanges, TheConfigurationIsInTheSetupThatDaemonsRead) {
+TEST(FleetChanges, SetupSectionContainsTheConfiguration) {
   taken(replaceWith(0, configOf(5)), "c");
   Setup setup = *readSetup(state.setupText());
   LONGS_EQUAL(5, setup.fleet.version.value);
@@ -89,7 +90,7 @@
   CHECK(readSetup(ControlState::founded({1}).setupText())->fleet.version.value == 0);
 }
 
-TEST(FleetChanges, VersionsRiseAndFaultsNameTheField) {
+TEST(FleetChanges, InvalidChangesNameTheField) {
   taken(replaceWith(0, configOf(5)), "c5");
   refused(replaceWith(5, configOf(4)), "[version]");
   Json same = configOf(5);
@@ -117,7 +118,7 @@
             .outcome == ChangeOutcome::kInvalid);
 }
 
-TEST(FleetChanges, OfTwoOnTheSameBaseOneWins) {
+TEST(FleetChanges, OfTwoChangesOnOneBaseTheSecondIsStale) {
   taken(replaceWith(0, configOf(5)), "c5");
   Json first = amendWith(5, R"({"version":7,"remove":{"tenants":["red"]}})");
   Json second = amendWith(5, R"({"version":9,"remove":{"services":["t"]}})");
@@ -130,7 +131,7 @@
   CHECK(apply(replaceWith(0, configOf(9)), "third").outcome == ChangeOutcome::kStale);
 }
 
-TEST(FleetChanges, AChangeSentAgainIsDoneAlsoLater) {
+TEST(FleetChanges, RepeatedChangeIsAcknowledgedAgain) {
   Json first = replaceWith(0, configOf(5));
   taken(first, "c5");
   SectionVersion version = state.version();
@@ -140,8 +141,8 @@
   ChangeReply again = parsed->apply(first.dump(), "c5", {3}, options);
   CHECK(again.outcome == ChangeOutcome::kDone && again.version == version);
   LONGS_EQUAL(6, parsed->configVersion().value);
-  // Under another id the very configuration in place is no second change, either. Only its id is
-  // new in the state, which therefore gets a version; the sections keep theirs.
+  // The current configuration under another change id has no effect either. Only the record of the
+  // id is new, so the state gets a new version and the sections keep theirs.
   Json current = replaceWith(5, stored());
   SectionVersions before = state.sections();
   std::string setup = state.setupText();
@@ -152,12 +153,12 @@
   LONGS_EQUAL(6, state.configVersion().value);
 }
 
-TEST(FleetChanges, AnAmendmentMayBeTheFirst) {
+TEST(FleetChanges, AmendmentMayBeTheFirstChange) {
   taken(amendWith(0, R"({"version":2,"upsert":{"services":[{"name":"s"}]}})"), "c");
   CHECK(stored() == Json::parse(R"({"version":2,"services":[{"name":"s"}]})"));
 }
 
-TEST(FleetChanges, OtherChangesLeaveTheConfiguration) {
+TEST(FleetChanges, OtherChangesKeepTheConfiguration) {
   taken(replaceWith(0, configOf(5)), "c5");
   Json config = stored();
   auto base = [&] { return versionText(state.sections().setup); };
@@ -171,7 +172,7 @@
   CHECK(readSetup(state.setupText())->tenants.contains({"rescue"}));
 }
 
-TEST(FleetChanges, WhatWouldChangeIsToldInNumbers) {
+TEST(FleetChanges, DryRunReportsCountsOnly) {
   Json change = replaceWith(0, configOf(5));
   change["dryRun"] = true;
   ChangeReply answer = apply(change, "dry");
@@ -181,13 +182,13 @@
   LONGS_EQUAL(0, state.configVersion().value);
 }
 
-TEST(FleetChanges, ModelVersionsOnlyRise) {
+TEST(FleetChanges, ModelVersionsOnlyIncrease) {
   auto named = [&](int version, const char* id) {
     taken({{"kind", "model-version"}, {"model", "m"}, {"version", version}}, id);
   };
   auto current = [&] { return readWeights(state.weightsText())->models; };
   SectionVersion before = state.version();
-  named(1, "one");  // what an unnamed model has
+  named(1, "one");  // the version of a model without an entry
   CHECK(state.version() == before && current().empty());
   named(3, "three");
   LONGS_EQUAL(3, current().at({"m"}).value);
@@ -200,10 +201,11 @@
   refused({{"kind", "model-version"}, {"version", 4}}, "[model]");
   refused({{"kind", "model-version"}, {"model", "m"}}, "[version]");
   refused({{"kind", "model-version"}, {"model", "m"}, {"version", 0}}, "<root>[version]");
-  CHECK(readWeights(R"({"version":1,"label":"first"})")->models.empty());  // an older state's
+  CHECK(readWeights(R"({"version":1,"label":"first"})")
+            ->models.empty());  // section of an earlier release
 }
 
-TEST(FleetChanges, DeepAndHugeDocumentsDoNoHarm) {
+TEST(FleetChanges, TooDeepOrTooLargeDocumentsAreRejected) {
   for (std::size_t depth : {200UL, 2'000'000UL}) {
     std::string change = R"({"kind":"replace","basedOnVersion":0,"config":{"version":1,"x":)" +
                          std::string(depth, '[') + std::string(depth, ']') + "}}";
@@ -219,7 +221,7 @@
   taken(replaceWith(0, brackets), "brackets");
 }
 
-TEST(FleetChanges, ALargeConfigurationIsWrittenOutOnce) {
+TEST(FleetChanges, LargeConfigurationIsSerializedOncePerChange) {
   Json first = largeConfig(1, 1000, 4400);
   std::size_t size = first.dump().size();
   CHECK(size > 4 << 20);
@@ -228,7 +230,7 @@
   std::size_t before = state.bytesWritten();
   taken(amendWith(1, R"({"version":2,"remove":{"routes":["r7"]}})"), "amend");
   CHECK(state.bytesWritten() - before < size + 4000);
-  // What doesn't touch it neither writes nor copies it.
+  // Changes that don't touch the configuration neither serialize nor copy it.
   before = state.bytesWritten();
   const char* setup = state.setupText().data();
   taken({{"kind", "model-version"}, {"model", "m"}, {"version", 2}}, "model");
@@ -239,14 +241,14 @@
   POINTERS_EQUAL(setup, copy.setupText().data());
 }
 
-TEST(FleetChanges, ManyRememberedChangesAreFoundAndTheOldestForgotten) {
+TEST(FleetChanges, OldestRememberedChangesAreEvicted) {
   for (int number = 0; number < 1500; ++number)
     taken({{"kind", "model-version"}, {"model", "m"}, {"version", number + 2}},
           "id" + std::to_string(number));
   SectionVersion version = state.version();
   CHECK(apply({}, "id1499").outcome == ChangeOutcome::kDone);
   CHECK(apply({}, "id500").outcome == ChangeOutcome::kDone);
-  // They are forgotten by blocks of 64: the last 1,000 stay, and less than a block more.
+  // Records are evicted in blocks of 64: the last 1,000 stay, and less than one block more.
   CHECK(apply({}, "id448").outcome == ChangeOutcome::kDone);
   CHECK(apply({}, "id447").outcome == ChangeOutcome::kInvalid);
   CHECK(state.version() == version);
--- a/tests/fresh_number_test.cc
+++ b/tests/fresh_number_test.cc
@@ -1,4 +1,4 @@
-// Identities are random or there are none.
+// Generation of random identities, which must fail without a source of random bytes.
 #include "io/fresh_number.h"
 
 #include <cstring>
@@ -9,12 +9,12 @@
 
 TEST_GROUP(FreshNumbers){};
 
-TEST(FreshNumbers, WithoutRandomBytesThereIsNoIdentity) {
+TEST(FreshNumbers, WithoutRandomBytesThereIsAnError) {
   CHECK_FALSE(freshNumber([](void*, std::size_t) -> std::ptrdiff_t { return -1; }).ok());
   CHECK_FALSE(freshNumber([](void*, std::size_t) -> std::ptrdiff_t { return 7; }).ok());
 }
 
-TEST(FreshNumbers, ANumberIsNeverZeroAndFitsAnIdentity) {
+TEST(FreshNumbers, ANumberIsNeverZero) {
   auto number = freshNumber([](void* buffer, std::size_t size) {
     std::memset(buffer, 0, size);
     return static_cast<std::ptrdiff_t>(size);
--- a/tests/spread_broadcast_test.cc
+++ b/tests/spread_broadcast_test.cc
@@ -1,4 +1,4 @@
-// Rounds of messages to many receivers, in portions.
+// Broadcast rounds to many receivers, sent in portions.
 #include "core/spread_broadcast.h"
 
 #include <map>
@@ -23,8 +23,8 @@
 TEST_GROUP(SpreadBroadcasts) {
   SpreadBroadcast spread;
   Outbox outbox;
-  std::map<Address, std::vector<std::uint64_t>> got;  // by whom, in what order
-  /// One tick; how many receivers were told at the most by one message.
+  std::map<Address, std::vector<std::uint64_t>> got;  // by receiver, in order of arrival
+  /// Runs one tick and returns the largest number of receivers of one broadcast.
   std::size_t tick(MonotonicTime now) {
     std::size_t most = 0;
     spread.tick(now, outbox);
@@ -51,13 +51,13 @@
   for (const auto& [to, fronts] : got) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
 }
 
-TEST(SpreadBroadcasts, AFewAreToldAtOnce) {
+TEST(SpreadBroadcasts, OnePortionIsSentAtOnce) {
   spread.begin(receivers(8), {useOf(1)}, seconds(0.5), at(1));
   LONGS_EQUAL(8, tick(at(1)));
   CHECK(spread.idle());
 }
 
-TEST(SpreadBroadcasts, LaterRoundsComeBehindEarlierOnes) {
+TEST(SpreadBroadcasts, RoundsArriveInOrder) {
   spread.begin(receivers(60), {useOf(1)}, seconds(0.5), at(1));
   run(1, 1.2);
   spread.begin(receivers(60), {useOf(2)}, seconds(0.5), at(1.2));
@@ -67,7 +67,7 @@
   for (const auto& [to, fronts] : got) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
 }
 
-TEST(SpreadBroadcasts, WhatALateLoopMissedIsMadeUpFor) {
+TEST(SpreadBroadcasts, ALateTickSendsAllThatIsOverdue) {
   spread.begin(receivers(60), {useOf(1)}, seconds(0.5), at(1));
   tick(at(1));
   tick(at(3));
@@ -75,7 +75,7 @@
   LONGS_EQUAL(60, got.size());
 }
 
-TEST(SpreadBroadcasts, NobodyToTellIsNoRound) {
+TEST(SpreadBroadcasts, ARoundWithoutReceiversOrMessagesIsDropped) {
   spread.begin({}, {useOf(1)}, seconds(0.5), at(1));
   spread.begin(receivers(3), {}, seconds(0.5), at(1));
   CHECK(spread.idle());
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -1,4 +1,4 @@
-// Who tells whom between zones, and what is marked for passing on.
+// Selection of relays between zones, and the marking of messages for forwarding.
 #include "core/zone_relay.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
   return record;
 }
 
-/// Ten routers in the north, six in the south, two in the east.
+/// Ten routers in zone north, six in south, two in east.
 std::vector<MemberRecord> fleet() {
   std::vector<MemberRecord> routers;
   for (std::uint64_t number = 1; number <= 18; ++number)
@@ -35,7 +35,7 @@
 
 TEST_GROUP(ZoneRelays){};
 
-TEST(ZoneRelays, OwnZoneAndSmallZonesAreToldDirectly) {
+TEST(ZoneRelays, OwnZoneAndSmallZonesAreServedDirectly) {
   auto routers = fleet();
   RelayTargets targets = relayTargets(routers, routers[0], 0);
   LONGS_EQUAL(9 + 2, targets.direct.size());
@@ -44,7 +44,7 @@
   for (std::size_t index : {1, 9, 16, 17}) CHECK(holds(targets.direct, routers[index]));
 }
 
-TEST(ZoneRelays, WithTheRelaysZoneEverybodyIsToldOnce) {
+TEST(ZoneRelays, DirectReceiversAndRelayedOnesCoverEachRouterOnce) {
   auto routers = fleet();
   for (const auto& sender : routers) {
     RelayTargets targets = relayTargets(routers, sender, 3);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(ZoneRelays, EachTurnTakesAnotherRelayAndSendersBeginAtDifferentOnes) {
+TEST(ZoneRelays, RelaysAlternateByTurnAndDifferBySender) {
   auto routers = fleet();
   std::set<Address> byTurn, bySender;
   for (std::uint64_t turn = 0; turn < 6; ++turn)
@@ -72,7 +72,7 @@
   CHECK(bySender.size() > 2);
 }
 
-TEST(ZoneRelays, RoutersWithoutZonesAreAllToldDirectly) {
+TEST(ZoneRelays, RoutersWithoutZonesAreServedDirectly) {
   std::vector<MemberRecord> routers;
   for (std::uint64_t number = 1; number <= 9; ++number) routers.push_back(router(number, ""));
   RelayTargets targets = relayTargets(routers, routers[4], 0);
