--- a/src/core/control_fault_injection.h
+++ b/src/core/control_fault_injection.h
@@ -16,7 +16,7 @@
   kMajorityOffByOne,         ///< half of the voters count as a majority
   kLeaseNotWaitedOut,        ///< an acceptor grants a lease before the previous one expired
   kSyncSkipped,              ///< replies are sent before the write they depend on is synced
-  kCopyTagIgnored,           ///< a machine with an outdated replica may lead
+  kCopyTagIgnored,           ///< a machine with any replica, even an outdated one, may lead
   kRememberedOrdersDropped,  ///< a replica drops the deduplication records of its snapshot
   kOneMajorityOfVoters,      ///< new voters are adopted without a majority of the old ones
   kTailShown,                ///< a leader exposes state before its view is confirmed
--- a/src/core/core_node.cc
+++ b/src/core/core_node.cc
@@ -169,8 +169,8 @@
 
 void CoreNode::noticeTime(MonotonicTime now) {
   acceptor_->notice(now);
-  // After a clock leap the time of the last renewals is uncertain, so grants that may still be in
-  // use are extended by a full lease.
+  // After a stall or a clock leap it is unknown how much time really passed, so grants that may
+  // still be in use are extended by a full lease.
   bool leapt = lastNotice_ != kNever && now - lastNotice_ > seconds(0.4);
   if (leapt && options_.guards(Guard::kClockLeap))
     for (auto& [engine, grant] : engineGrants_)
