--- a/src/core/remembered_changes.h
+++ b/src/core/remembered_changes.h
@@ -42,12 +42,12 @@
   const ForgottenChanges& forgotten() const { return forgotten_; }
   std::size_t size() const;
 
-  /// The records as a JSON list, oldest first, in the format that `read` parses.
+  /// The records as a JSON list, oldest first, in the stored format.
   std::string text() const;
-  /// The high-water marks as a JSON object, in the format that `read` parses.
+  /// The high-water marks as a JSON object, in the stored format.
   std::string forgottenText() const;
-  /// Parses both; throws a Json::exception if the format is wrong. Also accepts the list of objects
-  /// without marks that earlier releases wrote.
+  /// Parses records and marks; throws a Json::exception if the format is wrong. Also accepts the
+  /// list of objects without marks that earlier releases wrote.
   static RememberedChanges read(const Json& changes, const Json& forgotten);
 
  private:
--- a/src/core/router_messages.h
+++ b/src/core/router_messages.h
@@ -42,13 +42,13 @@
                         PEPPERGATE_FIELD(relay))
 };
 
-/// Changes to the prefix blocks that one engine caches, as reported by its watcher; with `whole`
-/// set, the complete list. A salt equal to the one before it is sent as an empty string.
+/// Changes to the prefix blocks that one engine caches, or the complete list of them, as reported
+/// by its watcher. A salt equal to the one before it is sent as an empty string.
 struct PrefixBlockUpdate {
   EngineId engine;
-  std::uint64_t epoch = 0;           // the engine's own; a restart changes it
-  std::uint64_t from = 0, next = 0;  // sequence numbers of the first change and after the last
-  bool whole = false;
+  std::uint64_t epoch = 0;                // the engine's own; a restart changes it
+  std::uint64_t from = 0, next = 0;       // sequence numbers of the first change and after the last
+  bool whole = false;                     // the complete list instead of changes
   std::vector<std::string> salts, parts;  // parallel lists, together with tokens
   std::vector<std::int64_t> tokens;       // cached tokens of the block; 0: evicted
   bool relay = false;                     // the receiver forwards it to the routers of its zone
