--- a/tests/config_desk_test.cc
+++ b/tests/config_desk_test.cc
@@ -78,7 +78,7 @@
     change.outcome = outcome;
     desk.hear(change, when(second), outbox);
   }
-  /// Delivers the primary's reply to a state request sent at `asked`.
+  /// Delivers the primary's reply to a state request of the given time.
   void proof(const ControlState& state, double asked, double heard, Duration age = {}) {
     StateReply news;
     news.sentAt = when(asked);
