--- a/src/core/budget.h
+++ b/src/core/budget.h
@@ -1,21 +1,21 @@
 #pragma once
-// Second shots are paid out of the first shots that this front sent; nothing is given free.
+// Limits retries to a share of the first attempts that this front sent, without a free allowance.
 #include <deque>
 
 #include "core/types.h"
 
 namespace peppergate {
 
-/// Example: `budget.first(now); if (budget.takeSecond(now)) sendAgain();`
+/// A budget of retries over a sliding window of time.
 class Budget {
  public:
   Budget(double share, Duration window) : share_(share), window_(window) {}
-  /// Counts a first shot. Example: see the class.
+  /// Records a first attempt.
   void first(MonotonicTime now) {
     forget(now);
     firsts_.push_back(now);
   }
-  /// Takes leave for one second shot, if the window pays for it. Example: see the class.
+  /// Takes one retry out of the budget; false if the first attempts in the window do not allow it.
   bool takeSecond(MonotonicTime now) {
     forget(now);
     double allowed = share_ * static_cast<double>(firsts_.size());
@@ -27,8 +27,9 @@
  private:
   void forget(MonotonicTime now) {
     while (!firsts_.empty() && now - firsts_.front() > window_) firsts_.pop_front();
-    // A second shot comes after the first ones that pay for it and is remembered as long as they
-    // are, so that none of them pays twice and the share holds over any span from the start.
+    // A retry comes after the first attempts that allow it and is remembered as long as they are.
+    // So no first attempt is counted for two retries, and the share holds over any span from the
+    // start.
     while (!seconds_.empty() && now - seconds_.front() > window_) seconds_.pop_front();
   }
   double share_;
--- a/src/core/engine_list.cc
+++ b/src/core/engine_list.cc
@@ -6,7 +6,7 @@
 
 absl::StatusOr<EngineList> parseEngineList(const std::string& text) {
   Json document = Json::parse(text, nullptr, false);
-  if (document.is_discarded()) return absl::InvalidArgumentError("engine list is no JSON");
+  if (document.is_discarded()) return absl::InvalidArgumentError("engine list is not valid JSON");
   if (auto wrong = checkSchema(SchemaName::kEngineList, document))
     return absl::InvalidArgumentError("engine list: " + wrong->field + ": " + wrong->detail);
   EngineList list;
--- a/src/core/engine_list.h
+++ b/src/core/engine_list.h
@@ -12,7 +12,7 @@
 enum class Service : std::uint8_t { kModel = 0, kDesk = 1, kStore = 2 };
 inline constexpr std::size_t kServices = 2;  // those that serve callers
 
-/// One engine as the platform lists it; links are told in megabytes a second.
+/// One engine as the platform lists it; its link is in megabytes per second.
 struct EngineEntry {
   EngineId id;
   Address address;
@@ -23,17 +23,17 @@
   bool draining = false;
 };
 
-/// Example: `auto list = parseEngineList(body); list->engines.at({"e1"}).draining`.
+/// A version of the platform's list.
 struct EngineList {
   ListVersion version;
-  std::map<EngineId, EngineEntry> engines;  // the store is in it, as {"store"}
+  std::map<EngineId, EngineEntry> engines;  // with the store, under its own id
   std::map<std::string, double> racks;
   std::string text;
 };
 
-/// The id under which the store is kept. Example: `list.engines.contains(storeId())`.
+/// The id of the store among the engines of a list.
 inline EngineId storeId() { return {"store"}; }
-/// Reads and checks a list. Example: see EngineList.
+/// Parses and validates a list.
 absl::StatusOr<EngineList> parseEngineList(const std::string& text);
 
 }  // namespace peppergate
--- a/src/core/engine_orders.cc
+++ b/src/core/engine_orders.cc
@@ -1,4 +1,4 @@
-// The part of EngineWatch that holds engines and gives them orders.
+// EngineWatch: leases on engines, and the orders given under them.
 #include <algorithm>
 
 #include "core/engine_watch.h"
@@ -40,8 +40,8 @@
 }
 
 Duration EngineWatch::waveDelay(const EngineList& list, const EngineId& engine) const {
-  // Engines of a service move in waves by their place in the list, so that serving capacity
-  // stays; all fronts come to the same waves without talk.
+  // The engines of a service load new weights in waves by their position in the list, so that
+  // serving capacity remains; all fronts compute the same waves without coordination.
   Service service = list.engines.at(engine).service;
   std::size_t place = 0, count = 0;
   for (const auto& [id, entry] : list.engines) {
@@ -52,7 +52,7 @@
   auto waves = static_cast<std::size_t>(1 / std::max(0.05, options_.waveShare) + 0.999);
   waves = std::clamp<std::size_t>(waves, 1, count);
   std::size_t wave = place * waves / count;
-  // The last wave begins early enough to be through before old weights may no longer start.
+  // The last wave starts early enough to finish before streams may no longer start on old weights.
   return options_.oldWeightsLimit * 0.7 * (static_cast<double>(wave) / static_cast<double>(waves));
 }
 
@@ -67,7 +67,7 @@
   bool old = outdated != kForever && now >= outdated + waveDelay(list, engine.id);
   bool drain = engine.draining && !watched.drainOrdered;
   if (!old && !drain) return;
-  // The hold is checked here and once more at the write; without proof no order is given.
+  // The lease is checked here and again at the write; an order also needs a fresh control state.
   bool held = holds(engine.id, now) && follower_.fresh(now);
   if (!held && options_.guards(Guard::kEngineLease)) {
     outbox.count("orders.withoutHold");
--- a/src/core/engine_watch.cc
+++ b/src/core/engine_watch.cc
@@ -69,7 +69,7 @@
 void EngineWatch::probe(const EngineEntry& engine, MonotonicTime now, Outbox& outbox) {
   watched_[engine.id].nextProbe = now + options_.probeEvery;
   for (const auto& [ticket, call] : calls_)
-    if (call.engine == engine.id && call.kind == CallKind::kHealth) return;  // one at a time
+    if (call.engine == engine.id && call.kind == CallKind::kHealth) return;  // one probe at a time
   TicketId ticket = outbox.ticket();
   calls_[ticket] = {CallKind::kHealth, engine.id, now};
   outbox.push(CallWeb{ticket, engine.address, "GET", "/health", {}, "", options_.probeTimeout});
@@ -85,7 +85,8 @@
   if (engine == list.engines.end() || !mine_.contains(call.engine)) return true;
   switch (call.kind) {
     case CallKind::kHealth:
-      // The engine was so at some time after the question: the question's time is counted.
+      // The engine took the snapshot at some time after the request was sent, so the time of the
+      // request is the one that never makes it look too recent.
       healthCame(engine->second, answer, call.since, outbox);
       break;
     case CallKind::kKept:
@@ -120,7 +121,7 @@
   }
   if (!good) {
     outbox.count("probes.failed");
-    // One lost probe may be the network's; the second takes the engine out.
+    // One failed probe may be a network loss; the second in a row takes the engine out of use.
     if (++watched.failures >= 2 && views_.contains(engine.id)) {
       picture = views_[engine.id].picture;
       picture.ready = false;
@@ -170,7 +171,7 @@
 
 void EngineWatch::take(const EngineSnapshot& picture, MonotonicTime seen) {
   EngineView& view = views_[picture.engine];
-  if (seen < view.seen) return;  // an older word that came late
+  if (seen < view.seen) return;  // an older snapshot that arrived late
   view.picture = picture;
   view.seen = seen;
   view.sentSince = 0;
--- a/src/core/engine_watch.h
+++ b/src/core/engine_watch.h
@@ -1,5 +1,6 @@
 #pragma once
-// Each front watches its share of engines: probes, reports, holds, and the only orders.
+// Each front watches its share of the engines: it probes their health, reads which prompt parts
+// they cache, and gives them orders while it holds their leases.
 #include <map>
 #include <optional>
 #include <set>
@@ -12,38 +13,39 @@
 
 namespace peppergate {
 
-/// What this front believes of an engine, by its watcher's newest word.
+/// What this front knows of an engine, from its watcher's newest snapshot.
 struct EngineView {
   EngineSnapshot picture;
-  MonotonicTime seen = kNever;  // when the engine was so
-  std::uint64_t sentSince = 0;  // shots sent by this front since then
+  MonotonicTime seen = kNever;  // when the engine was in this state
+  std::uint64_t sentSince = 0;  // attempts sent by this front since then
 };
 
-/// Example: `watch.tick(list, now, outbox); watch.usable({"e1"}, now)`.
+/// Watches this front's share of the engines, and has the newest snapshots of all engines.
 class EngineWatch {
  public:
   EngineWatch(const Options& options, Membership& membership, Follower& follower,
               PrefixIndex& index, Random& random);
 
-  /// Probes, asks for holds, gives orders, tells the others. Example: each tick.
+  /// Probes engines, requests their leases, gives orders, and sends snapshots to the other fronts.
+  /// Called on each tick.
   void tick(const EngineList& list, MonotonicTime now, Outbox& outbox);
-  /// Ends a probe, a report or an order; true if the ticket was its own.
+  /// Handles the answer to a probe, a cache report or an order; false if the ticket is not its own.
   bool answered(const WebAnswered& answer, const EngineList& list, MonotonicTime now,
                 Outbox& outbox);
-  /// A watcher's word. Example: on a EngineSnapshotNotification.
+  /// Handles the snapshots that another front sends of its engines.
   void hear(const EngineSnapshotNotification& note, MonotonicTime now, Outbox& outbox);
-  /// A voter's grants. Example: on a EngineLeaseReply.
+  /// Handles a voter's grants of engine leases.
   void hear(const EngineLeaseReply& answer, Outbox& outbox);
 
-  /// The engine's picture while it is young enough and the engine ready; else nothing.
+  /// The view of an engine that is ready, not in backoff, and whose snapshot is recent; else null.
   const EngineView* usable(const EngineId& engine, MonotonicTime now) const;
-  /// A shot went out. Example: counts until the next picture.
+  /// Counts an attempt sent to an engine, until the engine's next snapshot.
   void noteSent(const EngineId& engine);
-  /// An engine was seen to fail; it rests for a moment. Example: `watch.rest({"e1"}, now)`.
+  /// Takes an engine that was seen to fail out of use for a short backoff.
   void rest(const EngineId& engine, MonotonicTime now);
-  /// Whether this front watches an engine now. Example: `watch.mine({"e1"})`.
+  /// Whether this front watches an engine now.
   bool mine(const EngineId& engine) const;
-  /// Whether this front holds an engine, by the clock. Example: before each order.
+  /// Whether this front's lease on an engine is valid now; checked before each order.
   bool holds(const EngineId& engine, MonotonicTime now) const;
   const Ring& ring() const { return ring_; }
   const std::map<EngineId, EngineView>& views() const { return views_; }
--- a/src/core/fetch_desk.cc
+++ b/src/core/fetch_desk.cc
@@ -6,9 +6,9 @@
 namespace peppergate {
 namespace {
 
-constexpr double kLeastNoted = 0.02;  // streams of a kind, smoothed; fewer are told to nobody
+constexpr double kLeastNoted = 0.02;  // smoothed streams of a kind; lower counts are not reported
 
-constexpr std::uint64_t kNotedStreams = 1ULL << 62;  // ids from it on stand for many streams
+constexpr std::uint64_t kNotedStreams = 1ULL << 62;  // ids from here on represent reported streams
 
 LinkId rackLink(const std::string& rack) { return {"rack:" + rack}; }
 
@@ -71,8 +71,8 @@
   const LinkTotal* total = notes_.total(link, now);
   if (total == nullptr) return 0;
   double rate = total->othersRate, demand = total->othersDemand;
-  // On a crowded link everybody counts on the same share of it, so that fronts with unequal
-  // pictures come to one level; elsewhere the others' noted rates are theirs.
+  // An overloaded link is divided in proportion to demand, so that routers with different
+  // information arrive at the same level; otherwise the others use what they reported.
   if (own + demand > room && demand > 0) return room * demand / (own + demand);
   return std::min(rate, room);
 }
@@ -90,7 +90,7 @@
       double own = ownDemand(link);
       room = std::min(room, size - own - othersUse(link, size, own, now));
     }
-    // The store is the last choice among equals: peers are nearer.
+    // Among equals the store comes last: other engines are nearer.
     if (holder == storeId()) room -= 1e-3;
     if (!best || room > bestRoom) {
       best = holder;
@@ -120,7 +120,7 @@
   for (const auto& link : fetch.want.links) books_[link].usedSinceRun = true;
   Fetch& kept = fetches_[stream] = std::move(fetch);
   if (options_.planMode == 0) {
-    // The new stream joins the group of its most congested link, with all that runs now.
+    // The new stream joins the group of its most congested link, with all running streams.
     plan_ = settleNow(setup, &kept, now);
     const PlanShare& share = plan_.shares.at(stream);
     kept.bottleneck = share.bottleneck;
@@ -147,8 +147,8 @@
   std::erase_if(mixes_, [](const auto& entry) { return entry.second < kLeastNoted; });
 }
 
-// What everybody noted of the link, so that all come to the same: the mean of the fractions, and
-// the deepest cut that anybody saw.
+// Uses the reports of all routers, so that each computes the same capacity: the mean of the
+// reported fractions, and the largest reported cut.
 double FetchDesk::capacityOf(const LinkBook& book, const LinkTotal* total) const {
   if (total == nullptr) return book.told * options_.capacityStart;
   return book.told * total->meanFraction(options_.capacityStart) * (1 - total->cut);
@@ -179,8 +179,9 @@
   return source == nullptr || engine == nullptr ? 1 : crossing(source->zone, engine->zone);
 }
 
-// Noted counts are means over time. Whoever joins finds them there and comes on top, so each count
-// is raised as if one more stream were on its most crowded link.
+// Reported counts are means over time, and a new stream adds to them. Each count is therefore
+// raised as if its most loaded link carried one more stream, and by a margin of the square root of
+// its load.
 std::vector<NotedMix> FetchDesk::raisedMixes(MonotonicTime now) const {
   std::vector<NotedMix> mixes = notes_.mixes(now);
   std::vector<double> crowd(notes_.linkCount());
@@ -205,7 +206,7 @@
   return stream;
 }
 
-// One search over the streams of all fronts, as they were noted: equal notes give equal levels.
+// Plans the reported streams of all routers at once: equal reports give equal levels.
 Plan FetchDesk::settleNow(const Setup& setup, const Fetch* joining, MonotonicTime now) const {
   NumberedLinks links = numberedLinks(now);
   std::optional<MixNumbers> joiningMix;
@@ -223,7 +224,7 @@
     joined = joined || joins;
     stream.stream = joins ? joining->want.stream : StreamId{kNotedStreams + streams.size()};
     for (std::uint32_t link : numbers.path()) stream.links.push_back({notes_.linkName(link)});
-    stream.count = mix.count * crossingOf(links, numbers);  // as often as its moves count
+    stream.count = mix.count * crossingOf(links, numbers);  // times the weight of its transfers
     streams.push_back(std::move(stream));
   }
   for (std::uint32_t number = 0; number < links.books.size(); ++number)
@@ -251,7 +252,7 @@
   if (shortDelivery) {
     double missing = std::clamp(1 - expected / seen, 0.0, 0.9);
     LinkBook& book = books_[fetch.bottleneck];
-    // A fetch that was planned under the last cut and came short all the same cuts further.
+    // If the fetch was planned under the last cut and was slow all the same, both cuts multiply.
     double before = easedCut(book, now);
     book.cut = fetch.sent > book.cutAt ? std::min(0.9, 1 - (1 - before) * (1 - missing))
                                        : std::max(before, missing);
@@ -284,7 +285,7 @@
 void FetchDesk::tick(const Setup& setup, MonotonicTime now, Outbox& outbox) {
   notes_.expire(now);
   smooth(now);
-  // Reruns come on notes, reports and the timer; notes of many fronts share one rerun.
+  // Besides the timer, notifications and snapshots cause reruns; those of many routers share one.
   bool due = now >= nextRun_ || (touched_ && now - lastRun_ >= milliseconds(250));
   if (due && !setup.rungs.empty()) rerun(setup, now, outbox);
 }
@@ -293,7 +294,7 @@
   nextRun_ = now + options_.planEvery;
   lastRun_ = now;
   touched_ = false;
-  for (auto& [link, book] : books_) {  // a clean rerun lets the plan use a little more
+  for (auto& [link, book] : books_) {  // use more of a link without slow deliveries
     if (book.usedSinceRun && !book.shortSinceRun)
       book.fraction = std::min(book.fraction + options_.capacityRise, options_.capacityTop);
     book.usedSinceRun = book.shortSinceRun = false;
@@ -338,9 +339,9 @@
 
 UsageNotification FetchDesk::note(MemberId self, const Setup&, MonotonicTime now) {
   UsageNotification note = makeNote(self, now);
-  for (auto& [link, book] : books_) book.missing = 0;  // told once
+  for (auto& [link, book] : books_) book.missing = 0;  // reported once
   notes_.setSelf(self);
-  hear(note, now);  // this front plans with just what it told the others
+  hear(note, now);  // this router plans with exactly what it reported
   return note;
 }
 
--- a/src/core/fetch_desk.h
+++ b/src/core/fetch_desk.h
@@ -1,5 +1,6 @@
 #pragma once
-// Keeps what the plan needs: links and their capacity, others' use, live fetches, rung pace.
+// The state behind the fetch plan: link capacities, the link use of other routers, running fetches,
+// and how often the rung of a tenant may change.
 #include <map>
 #include <tuple>
 #include <vector>
@@ -11,98 +12,100 @@
 
 namespace peppergate {
 
-/// A fetch that runs until the stream's first event.
+/// A fetch of cached prompt parts by an engine; it runs until the stream's first event.
 struct Fetch {
   PlanStream want;
   TenantId tenant;
   std::string className;
   EngineId source;
-  LinkId bottleneck;  // whose group it joined
+  LinkId bottleneck;  // the link whose group it belongs to
   std::int64_t rung = 0;
   double rate = 0;
   double topRate = 0;
   double megabytes = 0;
   MonotonicTime sent;
-  bool arrived = false;  // so long ago that its bytes are taken to be over
-  bool joined = false;   // booked on its links one by one
+  bool arrived = false;  // sent long enough ago to assume that its bytes were delivered
+  bool joined = false;   // reserved on each of its links
 };
 
-/// A link as it is told, in megabytes a second, and where it is; no zone: moves over it count
-/// once. Example: `{{"engine:e1"}, {46250, {"north"}}}`.
+/// The listed capacity of a link, in megabytes per second, and its zone. Without a zone, transfers
+/// over the link have a weight of 1.
 struct LinkTold {
   double size = 0;
   Zone zone;
 };
 
-/// How one link has done, as this front sees it.
+/// What this router knows of one link: its capacity and the transfers over it.
 struct LinkBook {
-  double told = 0;      // megabytes a second, from the platform's list
-  double fraction = 0;  // of the told size that the plan uses, 0.75 rising to 0.95
-  double cut = 0;       // share cut after a short delivery, eased back
+  double told = 0;      // listed capacity, megabytes per second
+  double fraction = 0;  // of the listed capacity that the plan uses; rises from 0.75 to 0.95
+  double cut = 0;       // taken off after a slow delivery; decays over time
   MonotonicTime cutAt = kNever;
   bool usedSinceRun = false;
   bool shortSinceRun = false;
-  double missing = 0;  // told to others in notes
+  double missing = 0;  // shortfall of the last slow delivery, until reported to the others
   Zone zone;
-  double common = 0;   // what all fronts may use of it, as of the last rerun
-  double others = 0;   // what others use of it, as of the last rerun
-  double booked = 0;   // rate of the fetches that joined here, by what their moves count
-  double waiting = 0;  // megabytes of these
+  double common = 0;   // capacity for all routers together, as of the last rerun
+  double others = 0;   // rate of the other routers, as of the last rerun
+  double booked = 0;   // rate of the fetches reserved here, times their weights
+  double waiting = 0;  // megabytes that these have yet to deliver, times their weights
 };
 
-/// Example: `auto rung = desk.begin(fetch, setup, now, outbox);` then, at the first event,
-/// `desk.firstEvent(stream, now, outbox);`
+/// Plans fetches over links that all routers share, and chooses the rung of each fetch: its step of
+/// the ladder of transfer rates. A fetch is started or reserved, and ends at the first event of its
+/// stream.
 class FetchDesk {
  public:
   explicit FetchDesk(const Options& options) : options_(options) {}
 
-  /// Takes the links from a new engine list. Example: `desk.links(list);`
+  /// Updates the links from a new engine list.
   void links(const EngineList& list);
-  /// The same from what services are made like. Example: `desk.links({{link, {46250, zone}}})`.
+  /// Updates the links from capacities that the configuration of services gives.
   void links(const std::map<LinkId, LinkTold>& told);
-  /// The regions of zones: a move between two of them counts ten times, one between
-  /// zones of one region twice. Example: `desk.regions({{{"north"}, "west"}})`.
+  /// Sets the region of each zone. A transfer between regions has a weight of ten, one between
+  /// zones of one region a weight of two.
   void regions(std::map<Zone, std::string> regions) { regions_ = std::move(regions); }
-  /// How often a move counts. Example: `desk.crossing({"north"}, {"south"}) == 2`.
+  /// The weight of a transfer between two zones: 1 within a zone, 2 within a region, otherwise 10.
   int crossing(const Zone& from, const Zone& to) const;
-  /// The link of an engine or a store. Example: `linkOf({"e1"}).value == "engine:e1"`.
+  /// The link of an engine or the store. Example: `linkOf({"e1"}).value == "engine:e1"`.
   static LinkId linkOf(const EngineId& engine) { return {"engine:" + engine.value}; }
-  /// The links between a source and an engine. Example: `pathOf(list, {"e1"}, {"e2"})`.
+  /// The links that a transfer from a source to an engine crosses.
   static std::vector<LinkId> pathOf(const EngineList& list, const EngineId& source,
                                     const EngineId& engine);
-  /// The holder with the most room on its path. Example: see `begin`.
+  /// The holder whose path to the engine has the most free capacity; nothing if there is none.
   std::optional<EngineId> roomiest(std::span<const EngineId> holders, const EngineList& list,
                                    const EngineId& engine, const Setup& setup, MonotonicTime now);
-  /// The same among engines with links of their own, by what was booked and noted; time by the
-  /// number of holders alone. Example: `desk.roomiest(holders, {"e2"})`.
+  /// The same where each engine has a link of its own, from reserved and reported rates. Takes time
+  /// in proportion to the number of holders.
   std::optional<EngineId> roomiest(std::span<const EngineId> holders, const EngineId& engine) const;
-  /// Seconds that a move over a link would wait for those of this front. Example: before `join`.
+  /// Seconds that a new transfer over the engine's link would wait for this router's pending ones.
   double waitAt(const EngineId& engine) const;
-  /// Books a move by the levels in force, as the last rerun found them over all fronts' notes:
-  /// the rung, or nothing if not even the floor fits, and then nothing is booked. Time by the
-  /// length of the path alone. Example: `if (auto rung = desk.join(fetch, setup, now, outbox))`.
+  /// Reserves a transfer at the levels that the last rerun derived from all routers' reports.
+  /// Returns its rung, or nothing if not even its floor rung fits; nothing is reserved then. Takes
+  /// time in proportion to the length of the path.
   std::optional<std::int64_t> join(Fetch fetch, const Setup& setup, MonotonicTime now,
                                    Outbox& outbox);
-  /// Settles the rung of a new stream by the levels in force.
+  /// Starts the fetch of a new stream: reruns the plan with it and returns its rung.
   std::int64_t begin(Fetch fetch, const Setup& setup, MonotonicTime now, Outbox& outbox);
-  /// The first event came: the fetch is over, and its time tells how the links did.
+  /// Ends a fetch at the first event of its stream. A delivery slower than planned lowers the
+  /// capacity that the plan assumes of its bottleneck link.
   void firstEvent(StreamId stream, Duration base, MonotonicTime now, Outbox& outbox);
-  /// The stream ended before a first event. Example: on a broken shot.
+  /// Removes the fetch of a stream, also of one that ended before its first event.
   void drop(StreamId stream);
-  /// Others' use and cuts. Example: on a UsageNotification.
+  /// Records the link use and slow deliveries that a router reports.
   void hear(const UsageNotification& note, MonotonicTime now);
-  /// A rerun is wanted: on reports and notes. Example: `desk.touch();`
+  /// Requests a rerun of the plan, after new snapshots of engines.
   void touch() { touched_ = true; }
-  /// Reruns when due. Example: each tick.
+  /// Reruns the plan when due. Called on each tick.
   void tick(const Setup& setup, MonotonicTime now, Outbox& outbox);
-  /// What this front tells the others. Example: `outbox.send(to, desk.note(self, setup))`.
+  /// The notification of this router's link use for the other routers; it is recorded here, too.
   UsageNotification note(MemberId self, const Setup& setup, MonotonicTime now);
 
   const Plan& plan() const { return plan_; }
-  /// What the plan may use of a link now. Example: for the status page.
+  /// The capacity of a link that this router by itself finds usable now.
   double capacity(const LinkId& link, MonotonicTime now) const;
   std::size_t live() const { return fetches_.size(); }
-  /// The rung of each tenant over each bottleneck with the time of its last change.
+  /// How often the rung of a tenant over a bottleneck link has changed.
   std::uint64_t rungChanges() const { return rungChanges_; }
   void reload(const Options& options) { options_ = options; }
 
@@ -111,7 +114,7 @@
     std::int64_t rung = 0;
     MonotonicTime changed = kNever;
   };
-  /// All noted streams of one kind over one path.
+  /// Identifies streams of one kind over one path: links, class, floor rung and top rung.
   using MixKey = std::tuple<std::vector<LinkId>, std::string, std::int64_t, std::int64_t>;
   static MixKey keyOf(const Fetch& fetch);
   double pathCrossing(const std::vector<LinkId>& path) const;
@@ -121,7 +124,8 @@
   void refreshBooks(MonotonicTime now);
   void smooth(MonotonicTime now);
   UsageNotification makeNote(MemberId self, MonotonicTime now) const;
-  /// The capacity of each numbered link and the book that it is kept in; null: not listed here.
+  /// State and capacity of each link by its number in the table of notifications; a null state
+  /// means that the link is not listed here.
   struct NumberedLinks {
     std::vector<const LinkBook*> books;
     std::vector<double> capacities;
@@ -144,12 +148,12 @@
   Options options_;
   std::map<LinkId, LinkBook> books_;
   std::map<StreamId, Fetch> fetches_;
-  LinkNotes notes_;  // by everybody, this front among them
+  LinkNotes notes_;  // of all routers, this one included
   std::map<MixKey, double> mixes_;
   MonotonicTime smoothedAt_ = kNever;
   std::map<std::pair<TenantId, LinkId>, Paced> rungs_;
   Plan plan_;
-  std::map<LinkId, std::size_t> groups_;  // places in the plan's groups
+  std::map<LinkId, std::size_t> groups_;  // indexes into the plan's groups
   std::map<Zone, std::string> regions_;
   bool touched_ = false;
   MonotonicTime nextRun_{}, lastRun_ = kNever;
--- a/src/core/fetch_join.cc
+++ b/src/core/fetch_join.cc
@@ -1,4 +1,4 @@
-// The part of FetchDesk that books single moves by the levels in force, for each request.
+// FetchDesk: reserves the transfers of single requests at the levels of the last rerun.
 #include <algorithm>
 #include <limits>
 
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kUnderWay = milliseconds(100);  // of a move's bytes, at most, on a calm link
+constexpr Duration kUnderWay = milliseconds(100);  // longest transfer over a link without load
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 }
 
 double FetchDesk::pathCrossing(const std::vector<LinkId>& path) const {
-  // The first two links are the source's and the engine's; both ends tell where they are.
+  // The first two links are those of the source and the engine; their zones give the weight.
   if (path.size() < 2) return 1;
   auto source = books_.find(path[0]), engine = books_.find(path[1]);
   if (source == books_.end() || engine == books_.end()) return 1;
@@ -39,7 +39,7 @@
   for (const auto& holder : holders) {
     auto link = linkOf(holder);
     if (holder == engine || !books_.contains(link)) continue;
-    // A far source has the less room, the more often its moves count.
+    // The free capacity of a remote holder is divided by the weight of its transfers.
     double room = roomOf(link) / pathCrossing({link, linkOf(engine)});
     if (holder == storeId()) room -= 1e-3;
     if (!best || room > bestRoom) {
@@ -85,7 +85,7 @@
     fetch.bottleneck = group->link;
     fits = fits && (group->fits || group->total <= group->capacity);
     if (options_.planMode == 0) rung = rungUnder(setup.rungs, want, group->level);
-  } else if (options_.planMode == 0) {  // nobody crosses these links yet: a group of its own
+  } else if (options_.planMode == 0) {  // no stream crosses these links yet: a group of its own
     std::map<LinkId, double> rooms;
     for (const auto& link : want.links) rooms[link] = std::max(0.0, roomOf(link));
     PlanStream alone = want;
--- a/src/core/fetch_plan.cc
+++ b/src/core/fetch_plan.cc
@@ -14,7 +14,7 @@
   return rungs[static_cast<std::size_t>(rung)].rate;
 }
 
-/// Streams that the search can't tell apart, added up.
+/// Streams of equal utility curve and rate limits, added up.
 struct RateKind {
   TenantClass tenantClass;
   double low = 0, high = 0;  // rates of the floor and of the top rung
@@ -25,7 +25,8 @@
   return one.a == other.a && one.b == other.b && one.c == other.c;
 }
 
-/// There are few kinds, however many streams: the search takes time by the kinds alone.
+/// Merges streams that the search need not distinguish. There are few kinds however many streams,
+/// so each step of the search takes time in proportion to the number of kinds only.
 std::vector<RateKind> kindsOf(std::span<const PlanStream* const> streams,
                               std::span<const Rung> rungs) {
   std::vector<RateKind> kinds;
@@ -48,11 +49,11 @@
   return total;
 }
 
-/// Links and streams by number, so that each stream is looked at once for each of its links.
+/// Links and streams by number, so that the plan visits each stream once for each of its links.
 struct LinkTable {
   std::vector<const LinkId*> names;
   std::vector<double> wanted, room;
-  std::vector<std::vector<std::uint32_t>> streamsOf;  // by link; a stream once for each mention
+  std::vector<std::vector<std::uint32_t>> streamsOf;  // by link; each stream once
   std::vector<std::vector<std::uint32_t>> linksOf;    // by stream; each link once
 
   LinkTable(std::span<const PlanStream> streams, std::span<const Rung> rungs,
@@ -72,7 +73,7 @@
       }
     }
   }
-  /// Links by falling congestion ratio; those with equal ones by name.
+  /// Links by falling congestion ratio, and by name where the ratios are equal.
   std::vector<std::uint32_t> byRatio() const {
     std::vector<std::uint32_t> order(names.size());
     std::iota(order.begin(), order.end(), 0U);
@@ -88,7 +89,7 @@
   }
 
  private:
-  std::vector<double> told;  // capacities as given; `room` is what groups have left of them
+  std::vector<double> told;  // capacities as given, not reduced by earlier groups
   void add(const LinkId& link, const std::map<LinkId, double>& capacities) {
     auto capacity = capacities.find(link);
     names.push_back(&link);
@@ -107,7 +108,7 @@
 
 double rateAt(const TenantClass& tenantClass, double worth) {
   double base = (worth - tenantClass.c) / tenantClass.a;
-  // Beyond the end of the curve there is no rate: above it endless, below it none.
+  // A utility that no rate reaches: infinite for a curve with an upper bound, otherwise zero.
   if (base <= 0) return tenantClass.b < 0 ? std::numeric_limits<double>::infinity() : 0;
   return std::pow(base, 1 / tenantClass.b);
 }
@@ -130,7 +131,7 @@
   }
   auto kinds = kindsOf(streams, rungs);
   LevelSearch search;
-  search.level = lowest;  // where nothing fits, every stream is at its floor
+  search.level = lowest;  // if no level fits, every stream is at its floor rung
   search.total = totalAt(kinds, lowest);
   double level = (lowest + highest) / 2;
   double step = (highest - lowest) / 2;
@@ -145,7 +146,7 @@
     }
     if (std::abs(capacity - total) <= tolerance && total <= capacity) break;
     if (total < capacity) {
-      if (level >= highest) break;  // all are at their tops
+      if (level >= highest) break;  // all streams are at their top rungs
       level = std::min(level + step, highest);
     } else {
       step /= 2;
@@ -177,7 +178,7 @@
       std::int64_t rung = rungUnder(rungs, stream, search.level);
       plan.shares[stream.stream] = {rung, *table.names[link], search.level};
       grouped[number] = true;
-      // Its rate comes off all other links that it crosses.
+      // Subtract its rate from the other links that it crosses.
       for (std::uint32_t crossed : table.linksOf[number])
         if (crossed != link)
           table.room[crossed] =
--- a/src/core/fetch_plan.h
+++ b/src/core/fetch_plan.h
@@ -1,6 +1,7 @@
 #pragma once
-// The fetch plan of the design, without input or output: groups by congestion ratio, then one
-// level for each group, found by the rise, halve and fall search.
+// The fetch plan as a pure computation: streams are grouped by their most congested link, and a
+// search finds one utility level that the streams of a group share. The search raises the level by
+// a fixed step while the group fits its link, and halves the step and lowers it while it does not.
 #include <map>
 #include <optional>
 #include <span>
@@ -12,63 +13,66 @@
 
 namespace peppergate {
 
-/// One stream's wish to collect parts over some links.
+/// The demand of one stream that fetches prompt parts over some links.
 struct PlanStream {
   StreamId stream;
   std::vector<LinkId> links;
   TenantClass tenantClass;
   std::int64_t floorRung = 0;
   std::int64_t topRung = 0;
-  double count = 1;  // how many such streams it stands for
+  double count = 1;  // how many such streams it represents
 };
 
-/// What the plan gives a stream.
+/// The plan's result for one stream.
 struct PlanShare {
   std::int64_t rung = 0;
   LinkId bottleneck;
   double level = 0;
 };
 
+/// The streams that share a bottleneck link, and the level found for them.
 struct GroupResult {
   LinkId link;
-  double ratio = 0;     // congestion ratio that ranked it
-  double capacity = 0;  // left for this group, megabytes a second
-  double level = 0;     // the common level
-  double total = 0;     // the continuous rates at that level
+  double ratio = 0;     // congestion ratio: demand at the top rungs / capacity
+  double capacity = 0;  // left for this group, megabytes per second
+  double level = 0;     // the common utility level
+  double total = 0;     // sum of the continuous rates at that level
   std::int64_t rounds = 0;
-  bool fits = false;  // whether any level tried fits; else all are at their floors
+  bool fits = false;  // whether some level fits; otherwise all streams are at their floor rungs
   std::size_t streams = 0;
 };
 
-/// Streams are looked up by their number.
+/// Hashes a stream by its number.
 struct StreamIdHash {
   std::size_t operator()(StreamId stream) const { return std::hash<std::uint64_t>{}(stream.value); }
 };
 
+/// A rung for each stream, and the groups that they were computed in.
 struct Plan {
   std::unordered_map<StreamId, PlanShare, StreamIdHash> shares;
-  std::vector<GroupResult> groups;  // in the order of their ratios
+  std::vector<GroupResult> groups;  // by falling congestion ratio
 };
 
-/// The worth of a rate for a class. Example: `worthOf(TenantClass{-0.8, -0.5, 1, 0}, 16) == 0.8`.
+/// The utility of a rate for a class. Example: `worthOf(TenantClass{-0.8, -0.5, 1, 0}, 16) == 0.8`.
 double worthOf(const TenantClass& tenantClass, double rate);
-/// The rate at a worth: ((worth - c) / a)^(1 / b). Example: `rateAt(tenantClass, 0.8) == 16`.
+/// The rate with a given utility: ((utility - c) / a)^(1 / b).
+/// Example: `rateAt(tenantClass, 0.8) == 16`.
 double rateAt(const TenantClass& tenantClass, double worth);
-/// The highest rung between floor and top that is worth no more than the level.
-/// Example: `rungUnder(rungs, stream, 0.82)`.
+/// The highest rung between the stream's floor and top whose utility does not exceed the level.
 std::int64_t rungUnder(std::span<const Rung> rungs, const PlanStream& stream, double level);
 
+/// The outcome of a level search.
 struct LevelSearch {
   double level = 0;
   double total = 0;
   std::int64_t rounds = 0;
   bool fits = false;
 };
-/// The search itself, over the continuous rates clamped between floor and top.
-/// Example: `searchLevel(streams, rungs, 40.0, options).level`.
+/// Searches for the highest level whose continuous rates, clamped between floor and top, fit the
+/// capacity.
 LevelSearch searchLevel(std::span<const PlanStream* const> streams, std::span<const Rung> rungs,
                         double capacity, const Options& options);
-/// The whole plan. Example: `settle(streams, setup.rungs, capacities, options).shares`.
+/// Computes the plan: one level for each group of streams, and a rung for each stream.
 Plan settle(std::span<const PlanStream> streams, std::span<const Rung> rungs,
             const std::map<LinkId, double>& capacities, const Options& options);
 
--- a/src/core/front_node.cc
+++ b/src/core/front_node.cc
@@ -5,7 +5,7 @@
 namespace peppergate {
 namespace {
 
-constexpr int kEmptyNotes = 2;  // so often a front says that it has no fetches any more
+constexpr int kEmptyNotes = 2;  // empty usage notifications in a row before silence
 
 }  // namespace
 
@@ -62,8 +62,8 @@
 
 void FrontNode::tellUsage(MonotonicTime now) {
   UsageNotification note = fetches_->note(membership_->self().member, follower_->setup(), now);
-  // To others silence says the same as an empty note, once the last full one is cleared; an empty
-  // one is said again in case the first was lost.
+  // Once an empty notification has replaced the last full one, silence means the same to the
+  // others; the empty one is repeated in case the first was lost.
   bool empty = note.links.empty() && note.mixes.empty();
   emptyNotes_ = empty ? std::min(emptyNotes_ + 1, kEmptyNotes + 1) : 0;
   if (emptyNotes_ > kEmptyNotes) {
@@ -80,7 +80,7 @@
     outbox_.count("lists.unreadable");
     return;
   }
-  if (list->version <= list_.version) return;  // an older list is never taken
+  if (list->version <= list_.version) return;  // a list never goes back
   list_ = std::move(*list);
   fetches_->links(list_);
   outbox_.count("lists.taken");
--- a/src/core/front_node.h
+++ b/src/core/front_node.h
@@ -1,5 +1,6 @@
 #pragma once
-// A data-plane machine: member, follower, watcher of its engines, and the callers' listener.
+// A data-plane node: a member of the fleet that follows the control state, watches its share of the
+// engines and serves callers.
 #include <memory>
 
 #include "core/core_node.h"
@@ -7,7 +8,7 @@
 
 namespace peppergate {
 
-/// Example: `FrontNode front(options, self, seeds, platform, 7, now);`
+/// Owns the components of a front node and dispatches events to them.
 class FrontNode final : public Node {
  public:
   FrontNode(const Options& options, MemberRecord self, std::vector<Address> seeds, Address platform,
@@ -18,12 +19,12 @@
   Json status(MonotonicTime now) const override;
   void reload(const Options& options) override;
   bool drained(MonotonicTime now) const override;
-  /// For checkers and tests. Example: `front.follower().have()`.
+  /// The components, for checkers and tests.
   const Follower& follower() const { return *follower_; }
   const EngineWatch& watch() const { return *watch_; }
   const EngineList& list() const { return list_; }
   const FetchDesk& fetches() const { return *fetches_; }
-  /// The live shot of a stream, if it has one. Example: to slow it for a slow caller.
+  /// The running attempt of a stream, if it has one; used to throttle it for a slow caller.
   std::optional<ShotId> shotOf(StreamId stream) const { return streams_->shotOf(stream); }
 
  private:
@@ -48,7 +49,7 @@
   std::unique_ptr<Gate> gate_;
   std::unique_ptr<Streams> streams_;
   std::optional<TicketId> listTicket_;
-  int emptyNotes_ = 0;  // in a row, up to now
+  int emptyNotes_ = 0;  // consecutive ones
   MonotonicTime nextList_{}, nextUsage_{}, drainSince_ = kForever;
 };
 
--- a/src/core/gate.cc
+++ b/src/core/gate.cc
@@ -6,9 +6,9 @@
 namespace peppergate {
 namespace {
 
-// How full the engines may be for each rank; the best rank is shed last.
+// The load up to which streams of each rank are admitted; the best rank is shed last.
 constexpr std::array<double, 4> kFullFor{1.0, 0.92, 0.84, 0.76};
-// From here on a tenant may not have more than its even share of its front.
+// From this load on, a tenant may not exceed its fair share of the front's capacity.
 constexpr double kCrowded = 0.6;
 
 }  // namespace
@@ -22,12 +22,12 @@
     return GateVerdict::kTenantShare;
   auto rank = static_cast<std::size_t>(std::clamp<std::int64_t>(tenant.rank, 0, 3));
   double full = usage.running / usage.places;
-  // Pictures are late: the front's own streams count at once, against its even part.
+  // Snapshots lag behind, so the front's own streams count at once against its equal share.
   double ownPlaces = usage.places / std::max(1.0, usage.fronts);
   full = std::max(full, usage.ownRunning / ownPlaces / 1.5);
   if (full >= kFullFor[rank]) return GateVerdict::kOverload;
   if (full < kCrowded) return GateVerdict::kAllowed;
-  // What better ranks use comes off first; the rest is even among those of this rank.
+  // Better ranks are served first; the active tenants of this rank share the rest equally.
   double active = 1, better = 0;
   for (const auto& [other, entry] : tenants_) {
     if (entry.rank < tenant.rank) better += entry.running;
@@ -51,7 +51,7 @@
 }
 
 Duration Gate::retryAfter(Random& random, double pressure) {
-  // Whole seconds, wider under more pressure, so that the declined do not return as one.
+  // Whole seconds, spread wider under higher load, so that callers do not retry all at once.
   double width = 2 + 4 * std::clamp(pressure, 0.0, 1.0);
   return seconds(1 + static_cast<double>(random.below(static_cast<std::uint64_t>(width))));
 }
--- a/src/core/gate.h
+++ b/src/core/gate.h
@@ -1,5 +1,5 @@
 #pragma once
-// Who is allowed in when there is more than the engines can carry: by rank, fair within a rank.
+// Admission control under overload: by the rank of tenants, and fair among the tenants of a rank.
 #include <map>
 #include <string_view>
 
@@ -8,25 +8,27 @@
 
 namespace peppergate {
 
-/// What the gate knows of the fleet's usage. Example: filled from pictures each time.
+/// The load of one service, from the newest snapshots of its engines.
 struct GateUsage {
   double running = 0;  // streams on the engines of the service
-  double places = 0;   // streams that they can carry
+  double places = 0;   // streams that they can run at once
   double ownRunning = 0;
   double fronts = 1;
 };
 
+/// Whether a stream is admitted, and if not, which limit it met.
 enum class GateVerdict : std::uint8_t { kAllowed, kOverload, kTenantShare, kFrontFull };
 
-/// Example: `gate.allow(tenantId, tenant, usage)` then `gate.enter` and, at the end, `gate.leave`.
+/// Decides on admission and counts the running streams of each tenant: an admitted stream enters,
+/// and leaves at its end.
 class Gate {
  public:
   explicit Gate(const Options& options) : options_(options) {}
-  /// Whether one more stream of the tenant is let in now. Example: see the class.
+  /// Whether one more stream of the tenant is admitted now.
   GateVerdict allow(const TenantId& id, const Tenant& tenant, const GateUsage& usage) const;
   void enter(const TenantId& id, std::int64_t rank);
   void leave(const TenantId& id);
-  /// When a declined caller should come back, spread at random. Example: `retryAfter(random)`.
+  /// The delay after which a declined caller should retry, spread at random.
   static Duration retryAfter(Random& random, double pressure);
   double running() const { return running_; }
   void reload(const Options& options) { options_ = options; }
@@ -41,7 +43,8 @@
   double running_ = 0;
 };
 
-/// Names a verdict for callers. Example: `verdictName(GateVerdict::kOverload) == "overload"`.
+/// The name of a verdict in answers to callers. Example: `verdictName(GateVerdict::kOverload) ==
+/// "overload"`.
 std::string_view verdictName(GateVerdict verdict);
 
 }  // namespace peppergate
--- a/src/core/link_notes.cc
+++ b/src/core/link_notes.cc
@@ -5,9 +5,9 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kCountsFor = seconds(3);  // a note, from when it was heard
+constexpr Duration kCountsFor = seconds(3);  // a notification is in use from its arrival
 constexpr Duration kForgetAfter = seconds(6);
-constexpr std::size_t kMostNames = 8192;  // engines come and go with new names; then it begins anew
+constexpr std::size_t kMostNames = 8192;  // the table is cleared above: new engines bring new names
 
 struct MixHash {
   std::size_t operator()(const MixNumbers& mix) const {
@@ -55,7 +55,7 @@
   totalsStale_ = true;
 }
 
-// Notes are said again within a second or two; until then the plan goes by fewer of them.
+// Routers repeat their notifications within a second or two; until then the plan has fewer of them.
 void LinkNotes::renumber() {
   notes_.clear();
   links_ = {};
--- a/src/core/link_notes.h
+++ b/src/core/link_notes.h
@@ -1,6 +1,6 @@
 #pragma once
-// What all routers noted of their use of links. Links are numbered, so that adding the notes up
-// costs in proportion to what they hold, however many routers there are.
+// The link use that all routers report in their usage notifications. Links are numbered, so that
+// the time to sum the notifications depends on their contents, not on the number of routers.
 #include <array>
 #include <cstdint>
 #include <map>
@@ -15,9 +15,9 @@
 
 namespace peppergate {
 
-/// Streams of one kind over one path, in the numbers of `LinkNotes`.
+/// Streams of one kind over one path; links and class by their numbers in the table.
 struct MixNumbers {
-  static constexpr std::size_t kMostLinks = 4;  // a source, an engine and the racks of both
+  static constexpr std::size_t kMostLinks = 4;  // a source, an engine and their racks
   std::array<std::uint32_t, kMostLinks> links{};
   std::uint32_t linkCount = 0, className = 0;
   std::int64_t floorRung = 0, topRung = 0;
@@ -25,40 +25,40 @@
   std::span<const std::uint32_t> path() const { return {links.data(), linkCount}; }
 };
 
-/// What is noted of one link by all routers together.
+/// The sums of all routers' notifications for one link.
 struct LinkTotal {
-  double fractions = 0;     // summed over the routers that note one
-  std::int64_t notes = 0;   // how many do
-  double cut = 0;           // the deepest
-  double othersRate = 0;    // megabytes a second, without this router's own
-  double othersDemand = 0;  // the same at the top rungs
+  double fractions = 0;     // sum of the usable fractions that routers report
+  std::int64_t notes = 0;   // routers that report a fraction
+  double cut = 0;           // the largest that a router reports
+  double othersRate = 0;    // megabytes per second, without this router's own
+  double othersDemand = 0;  // the same if all streams were at their top rungs
   double meanFraction(double otherwise) const {
     return notes > 0 ? fractions / static_cast<double>(notes) : otherwise;
   }
 };
 
-/// A kind of stream with its count over all routers.
+/// A kind of stream with its count, summed over all routers.
 struct NotedMix {
   MixNumbers numbers;
   double count = 0;
 };
 
-/// One table of notes; each router's newest replaces its last one. Not thread-safe.
+/// The newest usage notification of each router, with sums over them. Not thread-safe.
 class LinkNotes {
  public:
-  /// This router's own member, whose note doesn't count among the others'.
+  /// Sets this router's own member; its notification is left out of the sums over other routers.
   void setSelf(MemberId self) { self_ = self; }
-  /// Takes a note. Mixes with an empty path, or one that is too long, are left out.
+  /// Replaces a router's notification. Ignores stream kinds whose path is empty or too long.
   void hear(const UsageNotification& note, MonotonicTime now);
-  /// Forgets notes that are too old to count.
+  /// Removes notifications that are long out of date.
   void expire(MonotonicTime now);
-  /// The totals of a link; nothing if no note that counts now names it.
+  /// The totals of a link; null if no router has named it.
   const LinkTotal* total(const LinkId& link, MonotonicTime now) const;
-  /// The same by number, for links up to `linkCount`.
+  /// The totals of a link by its number, which must be below the number of links.
   const LinkTotal& total(std::uint32_t link, MonotonicTime now) const;
-  /// All kinds of streams with their summed counts, in an order that equal notes make equal.
+  /// All kinds of streams with their summed counts; equal notifications give an equal order.
   std::vector<NotedMix> mixes(MonotonicTime now) const;
-  /// The numbers of a kind of stream; nothing if its links or class were never noted.
+  /// Looks a kind of stream up; nothing if its links or class were never reported.
   std::optional<MixNumbers> find(const std::vector<LinkId>& path, std::string_view className,
                                  std::int64_t floorRung, std::int64_t topRung) const;
   std::size_t linkCount() const { return links_.names.size(); }
@@ -66,7 +66,7 @@
   const std::string& className(std::uint32_t number) const { return classes_.names[number]; }
 
  private:
-  /// Texts by number, in the order in which they came.
+  /// Assigns consecutive numbers to names, in the order of their first use.
   struct Names {
     std::unordered_map<std::string, std::uint32_t> numbers;
     std::vector<std::string> names;
@@ -89,7 +89,7 @@
   MemberId self_;
   std::map<MemberId, Note> notes_;
   Names links_, classes_;
-  // Made when asked for, and made anew after a change or at another time.
+  // Cache of the totals, rebuilt on access after a change or for another time.
   mutable std::vector<LinkTotal> totals_;
   mutable MonotonicTime totalsAt_ = kNever;
   mutable bool totalsStale_ = true;
--- a/src/core/prefix_index.cc
+++ b/src/core/prefix_index.cc
@@ -5,7 +5,7 @@
 namespace peppergate {
 
 bool PrefixIndex::report(IndexPut put) {
-  // Lives have no order of their own: only the life that the newest picture names counts.
+  // Lives have no order among them: only the life in the engine's newest snapshot is valid.
   auto found = engines_.find(put.engine);
   if (found == engines_.end() || put.life != found->second.life) return false;
   Kept& kept = found->second;
@@ -66,7 +66,7 @@
     if (owners.empty()) continue;
     bool copies = std::ranges::find(owners, membership_.self().member) != owners.end();
     if (owners[0] == membership_.self().member) {
-      spread(ring, engine, outbox);  // the sweep: copies compare with the watcher
+      spread(ring, engine, outbox);  // periodic sweep: replicas compare their entries
       continue;
     }
     if (!behind && !copies) continue;
--- a/src/core/prefix_index.h
+++ b/src/core/prefix_index.h
@@ -1,5 +1,6 @@
 #pragma once
-// Which engine keeps which part, tied to the engine's life; copies are mended by reads.
+// Which engine caches which prompt parts. Entries are valid for one life of an engine (from start
+// to restart) and are replicated to several fronts, with read repair of stale replicas.
 #include <map>
 #include <set>
 #include <vector>
@@ -9,40 +10,42 @@
 
 namespace peppergate {
 
-/// Example: `index.holders(name, wall, weights)` gives the engines that may be collected from.
+/// The cached prompt parts of all engines, as far as this front knows them.
 class PrefixIndex {
  public:
   PrefixIndex(const Options& options, Membership& membership)
       : options_(options), membership_(membership) {}
 
-  /// The watcher's own report; true if it was news. Example: `index.report(put)`.
+  /// Takes an engine's report of its cache; returns whether it was newer than the entry here.
   bool report(IndexPut put);
-  /// A copy that came; an older one is answered with the newer (read repair).
+  /// Handles a replicated entry; one older than this front's is answered with the newer one (read
+  /// repair).
   void hear(const Address& from, const IndexPut& put, Outbox& outbox);
-  /// A question for what is newer. Example: on an IndexRequest.
+  /// Handles a request for a newer entry; asks for the sender's entry in turn if that is newer.
   void hear(const Address& from, const IndexRequest& ask, Outbox& outbox);
-  /// The newest life and revision heard of; entries of other lives end.
+  /// Notes an engine's current life and newest revision; an entry of another life is dropped.
   void noteLife(const EngineId& engine, EngineLife life, std::uint64_t revision);
-  /// Asks for what is old here, spread over the copies. Example: each tick.
+  /// Requests entries that are out of date here, spread over their replicas, and sends out those of
+  /// this front's engines. Called on each tick.
   void tick(const Ring& ring, MonotonicTime now, Random& random, Outbox& outbox);
-  /// Sends the watcher's entries to its copies. Example: after a report.
+  /// Sends an engine's entry to the fronts that replicate it; called after a report.
   void spread(const Ring& ring, const EngineId& engine, Outbox& outbox);
-  /// An engine that left the list. Example: `index.forget({"e1"})`.
+  /// Drops the entry of an engine that left the list.
   void forget(const EngineId& engine);
-  /// A source turned out empty: the entry goes until the next report.
+  /// Drops a part that an engine turned out not to have, until its next report.
   void missing(const EngineId& engine, const PartName& name);
 
-  /// Engines that keep a part; wall and weights are compared besides the name.
+  /// The engines that cache a part. Its isolation domain and weights are compared besides the name.
   std::vector<EngineId> holders(const PartName& name, const Wall& wall,
                                 WeightsVersion weights) const;
-  /// Whether one engine keeps a part. Example: `index.keeps({"e1"}, name, wall, weights)`.
+  /// Whether one engine caches a part.
   bool keeps(const EngineId& engine, const PartName& name, const Wall& wall,
              WeightsVersion weights) const;
   std::size_t size() const;
 
  private:
   struct Kept {
-    EngineLife life;  // as the newest picture names it
+    EngineLife life;  // of the engine's newest snapshot
     std::uint64_t revision = 0;
     std::uint64_t newestRevision = 0;
     std::map<PartName, KeptPart> parts;
--- a/src/core/ring.h
+++ b/src/core/ring.h
@@ -1,5 +1,6 @@
 #pragma once
-// A ring of virtual places: each front has its share of engines, each engine its copies.
+// A consistent hash ring that assigns each engine to a front that watches it, and to further fronts
+// that replicate its index entries.
 #include <span>
 #include <vector>
 
@@ -7,16 +8,16 @@
 
 namespace peppergate {
 
-/// Example: `Ring ring(membership.liveFronts()); ring.owners({"e1"}, 3)[0]` watches e1.
+/// A hash ring with several virtual nodes for each member. The first owner of an engine watches it.
 class Ring {
  public:
   static constexpr int kPlacesEach = 64;
   Ring() = default;
   explicit Ring(std::span<const MemberRecord> members);
-  /// The first `count` different members clockwise of the engine's place.
-  /// Example: see the class.
+  /// The first different members clockwise from the engine's point, `count` of them if there are as
+  /// many.
   std::vector<MemberId> owners(const EngineId& engine, std::size_t count) const;
-  /// Whether it was built for just these members. Example: `if (!ring.isFor(fronts)) ...`
+  /// Whether the ring was built from exactly these members.
   bool isFor(std::span<const MemberRecord> members) const;
 
  private:
--- a/src/core/shots.cc
+++ b/src/core/shots.cc
@@ -1,4 +1,4 @@
-// The part of Streams that sends shots and follows their turns.
+// Streams: sends attempts to engines and handles their events.
 #include <algorithm>
 
 #include "core/streams.h"
@@ -40,7 +40,8 @@
     outbox.count(fetched ? "parts.fetched" : "parts.anew");
     anyAnew = anyAnew || !fetched;
   }
-  // What is read anew is left with the store, so that it is read once only.
+  // Shared parts that the engine computes anew are deposited in the store, so that they are
+  // computed only once.
   if (anyAnew && storeEntry != front_.list.engines.end() && front_.watch.usable(storeId(), now))
     shot.headers["X-Deposit-At"] = storeEntry->second.address.value;
   stream.collects = source.has_value();
@@ -71,7 +72,8 @@
 }
 
 void Streams::shoot(Stream& stream, const Assigned& assigned, MonotonicTime now, Outbox& outbox) {
-  // Freshness is checked again right before the shot: a process that was frozen stops here.
+  // Check freshness again right before sending: a process that was suspended after the request
+  // was admitted must not send on a stale control state.
   if (!front_.follower.fresh(now) || front_.follower.tenantOf(stream.key) == nullptr) {
     giveUp(stream, 503, "stale", outbox);
     return;
@@ -104,7 +106,7 @@
   shot.body = Json{{"parts", parts}, {"pieces", stream.pieces}}.dump();
   stream.engine = assigned.engine;
   stream.weights = weights;
-  stream.bound = weights;  // from now on it stays with these weights
+  stream.bound = weights;  // later attempts must use the same weights
   stream.shot = shot.shot;
   stream.sent = now;
   stream.firstCame = false;
@@ -117,7 +119,7 @@
 
 void Streams::turn(const ShotTurned& turned, MonotonicTime now, Outbox& outbox) {
   auto shot = shots_.find(turned.shot);
-  if (shot == shots_.end()) {  // late bytes of a shot that was left
+  if (shot == shots_.end()) {  // late event of an abandoned attempt
     outbox.count("shots.late");
     return;
   }
@@ -138,7 +140,7 @@
       front_.watch.rest(stream.engine, now);
       again(stream, "broken", now, outbox);
       break;
-    case ShotTurn::kDeclined:  // the engine says that it did not run
+    case ShotTurn::kDeclined:  // the engine reports that it did not run the request
     case ShotTurn::kNotWritten:
       if (turned.turn == ShotTurn::kNotWritten || turned.status == 412)
         front_.watch.rest(stream.engine, now);
@@ -151,13 +153,13 @@
 
 void Streams::piece(Stream& stream, const ShotTurned& turned, MonotonicTime now, Outbox& outbox) {
   stream.mayHaveRun = true;
-  if (!front_.follower.mayGoOn(now)) {  // a woken process hands out no piece on an old proof
+  if (!front_.follower.mayGoOn(now)) {  // no pieces on an expired proof after a suspension
     giveUp(stream, 503, "stale", outbox);
     return;
   }
   bool foreign = !turned.echo.empty() && turned.echo != stream.requestId;
   if (!front_.options.guards(Guard::kPieceOrder)) stream.next = turned.piece;
-  if (foreign || turned.piece != stream.next) {  // lost, repeated or another's: never passed on
+  if (foreign || turned.piece != stream.next) {  // lost, repeated or of another request
     outbox.count(foreign ? "shots.foreign" : "shots.outOfOrder");
     stream.resumable = stream.resumable && !foreign;
     again(stream, foreign ? "foreign-answer" : "out-of-order", now, outbox);
@@ -194,7 +196,8 @@
     --running_[stream.engine];
   }
   front_.fetches.drop(stream.id);
-  // What may have reached an engine is sent again only if it can go on at the exact piece.
+  // A request that may have reached an engine is retried only if the stream can resume at the
+  // exact piece.
   bool allowed = !stream.mayHaveRun || stream.resumable || !front_.options.guards(Guard::kNoRepeat);
   if (stream.mayHaveRun == false && stream.next.value == 0) stream.bound.reset();
   if (!allowed) {
@@ -226,7 +229,7 @@
     outbox.push(SendPiece{stream.id, {0}, stream.gathered});
   }
   outbox.push(EndAnswer{stream.id, AnswerEnd::kWhole, "end", true, stream.next});
-  if (stream.shot) {  // it ended by itself
+  if (stream.shot) {  // the attempt ended by itself: nothing to cancel
     shots_.erase(*stream.shot);
     stream.shot.reset();
     --running_[stream.engine];
--- a/src/core/streams.cc
+++ b/src/core/streams.cc
@@ -1,4 +1,4 @@
-// Streams: reading a request, letting it in, and choosing its engine.
+// Streams: request parsing, admission and the choice of an engine.
 #include "core/streams.h"
 
 #include <algorithm>
@@ -178,7 +178,8 @@
       if (!front_.index.keeps(id, entry->second[part], stream.options.wall, weights))
         missing += size;
     }
-    // An engine that keeps the prefix is worth half its places; beyond that room counts more.
+    // A fully cached prefix offsets a load difference of up to half the engine's slots; a larger
+    // difference outweighs it. The random term spreads requests over engines of similar cost.
     double cost =
         busy / places + 0.5 * missing / std::max(1.0, whole) + 0.05 * front_.random.fraction();
     if (!best || cost < bestCost) {
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -1,5 +1,6 @@
 #pragma once
-// Streams and their shots: what was promised to a caller, and what may have reached an engine.
+// Caller streams and the attempts that serve them: what was sent to a caller, and whether an
+// engine may have run its request.
 #include <array>
 #include <map>
 #include <optional>
@@ -13,13 +14,14 @@
 
 namespace peppergate {
 
-/// One part of a prompt. Example: a hut rulebook, shared by many streams.
+/// One part of a prompt. A shared part (a system prompt, say) occurs in many streams, so an engine
+/// may fetch it from another engine's prefix cache.
 struct PromptPart {
   std::string text;
   bool shared = false;
 };
 
-/// A caller's stream once its request was read and found good.
+/// A caller's stream after its request was parsed and validated.
 struct Stream {
   StreamId id;
   std::string requestId;
@@ -33,11 +35,11 @@
   std::int64_t topRung = 0;
   bool resumable = false;
   bool unary = false;
-  std::optional<WeightsVersion> bound;  // weights that a resumed stream has to keep
-  // As it runs:
-  Piece next;               // the next piece that the caller wants
-  bool started = false;     // the caller got its head
-  bool mayHaveRun = false;  // a shot left "not written"
+  std::optional<WeightsVersion> bound;  // weights that further attempts must use
+  // State while the stream runs:
+  Piece next;               // the next piece to pass to the caller
+  bool started = false;     // the response head was sent to the caller
+  bool mayHaveRun = false;  // an attempt may have reached an engine
   int shots = 0;
   std::optional<ShotId> shot;
   EngineId engine;
@@ -45,10 +47,10 @@
   MonotonicTime sent;
   bool firstCame = false;
   bool collects = false;
-  std::string gathered;  // of a unary call
+  std::string gathered;  // response text of a unary call
 };
 
-/// What the streams need of the rest of the front.
+/// The components of a front node that its streams use.
 struct FrontParts {
   const Options& options;
   Membership& membership;
@@ -61,23 +63,25 @@
   const EngineList& list;
 };
 
-/// Example: `streams.ask(event, now, outbox)`, then `streams.turn(shotTurned, now, outbox)`.
+/// The streams of one front node: admits requests, chooses engines, sends attempts, and retries
+/// failed attempts within the retry budget.
 class Streams {
  public:
   explicit Streams(FrontParts parts);
-  /// A caller asks. It is allowed and sent, or declined at once. Example: see the class.
+  /// Handles a caller's request: admits it and sends a first attempt, or declines it at once.
   void ask(const StreamRequest& asked, MonotonicTime now, Outbox& outbox);
-  /// A shot went on. Example: a piece came.
+  /// Handles an event of an attempt, such as a piece that arrived or a failure.
   void turn(const ShotTurned& turned, MonotonicTime now, Outbox& outbox);
-  /// The caller went away: its shot ends and nothing is sent again.
+  /// Handles a caller's disconnect: cancels its attempt and does not retry.
   void gone(StreamId stream, Outbox& outbox);
-  /// Ends what is over its deadline or whose key was withdrawn. Example: each tick.
+  /// Ends streams that are past their deadline, whose key was withdrawn or whose proof of the
+  /// control state is too old; retries those whose first piece is overdue. Called on each tick.
   void tick(MonotonicTime now, Outbox& outbox);
-  /// Declines new streams from now on. Example: on SIGTERM.
+  /// Declines new streams from now on; called on SIGTERM.
   void drain() { draining_ = true; }
   std::size_t live() const { return streams_.size(); }
   bool draining() const { return draining_; }
-  /// The live shot of a stream. Example: `streams.shotOf(stream)`.
+  /// The running attempt of a stream, if it has one.
   std::optional<ShotId> shotOf(StreamId stream) const {
     auto found = streams_.find(stream);
     return found == streams_.end() ? std::nullopt : found->second.shot;
@@ -113,7 +117,7 @@
   std::uint64_t lastRequest_ = 0;
   std::uint64_t lastShot_ = 0;
   std::uint64_t changesSeen_ = 0;
-  Duration base_ = milliseconds(60);  // usual time to a first event without a source
+  Duration base_ = milliseconds(60);  // mean time to the first piece without a fetch
   bool draining_ = false;
 };
 
--- a/tests/fetch_desk_scale_test.cc
+++ b/tests/fetch_desk_scale_test.cc
@@ -1,4 +1,4 @@
-// What one rerun of the fetch plan costs by the number of routers that note their use of links.
+// The processor time of a rerun of the fetch plan, by the number of routers that report link use.
 #include <time.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t kEngines = 140;
-constexpr std::size_t kMixesOfARouter = 30;  // paths that a router has used within some seconds
+constexpr std::size_t kMixesOfARouter = 30;  // paths that a router used in the last seconds
 constexpr int kRounds = 5;
 
 double threadSeconds() {
@@ -26,7 +26,7 @@
   return FetchDesk::linkOf({"i-" + std::to_string(1000000 + engine)});
 }
 
-/// One router's note: moves between engines drawn at random.
+/// One router's usage notification: transfers between engines drawn at random.
 UsageNotification noteOf(std::uint64_t router, Random& random) {
   UsageNotification note;
   note.front = {router};
@@ -47,8 +47,8 @@
   return note;
 }
 
-/// Processor seconds of one round: every router's note is heard, and the plan is found anew. The
-/// least of some rounds, so that a busy machine doesn't matter.
+/// Processor seconds of one round: every router's notification is recorded, and the plan is rerun.
+/// The minimum of several rounds, so that other load on the machine has little effect.
 double secondsOfARound(std::uint64_t routers) {
   Options options;
   Outbox outbox;
@@ -79,10 +79,10 @@
 
 TEST_GROUP(FetchDeskScale){};
 
-TEST(FetchDeskScale, ARoundCostsInProportionToTheRoutersThatNote) {
-  // Four times the routers are four times the notes; a little more for look-ups in larger tables.
+TEST(FetchDeskScale, RerunTimeIsProportionalToTheNumberOfRouters) {
+  // Four times the routers send four times the notifications; lookups in larger tables add to that.
   constexpr double kMostGrowth = 7;
   double few = secondsOfARound(20), many = secondsOfARound(80);
-  std::printf("\na round: %.2f ms of 20 routers, %.2f ms of 80\n", few * 1e3, many * 1e3);
+  std::printf("\nrerun: %.2f ms with 20 routers, %.2f ms with 80\n", few * 1e3, many * 1e3);
   CHECK(many < few * kMostGrowth);
 }
--- a/tests/fetch_plan_test.cc
+++ b/tests/fetch_plan_test.cc
@@ -1,4 +1,4 @@
-// The fetch plan against examples worked by hand, and its properties over many seeds.
+// The fetch plan against examples computed by hand, and its invariants with many random seeds.
 #include "core/fetch_plan.h"
 #include "core/fetch_desk.h"
 
@@ -13,7 +13,7 @@
 namespace {
 
 const std::vector<Rung> kRungs{{"thin", 4}, {"half", 8}, {"most", 16}, {"whole", 32}};
-// worth = 1 - 0.8 / sqrt(rate): 4 -> 0.6, 16 -> 0.8.
+// utility = 1 - 0.8 / sqrt(rate): 4 -> 0.6, 16 -> 0.8.
 const TenantClass kDesk{-0.8, -0.5, 1, 0};
 
 PlanStream stream(std::uint64_t id, std::vector<LinkId> links, std::int64_t floor = 0,
@@ -27,15 +27,15 @@
 
 TEST_GROUP(FetchPlan){};
 
-TEST(FetchPlan, WorthAndRateAreEachOthersInverse) {
+TEST(FetchPlan, UtilityAndRateAreInverseFunctions) {
   DOUBLES_EQUAL(0.6, worthOf(kDesk, 4), 1e-9);
   DOUBLES_EQUAL(0.8, worthOf(kDesk, 16), 1e-9);
   DOUBLES_EQUAL(16, rateAt(kDesk, 0.8), 1e-9);
 }
 
-TEST(FetchPlan, TwoEqualStreamsShareALinkAtOneLevel) {
-  // By hand: capacity 33 for two equal streams gives 16.5 each, worth 1 - 0.8 / sqrt(16.5)
-  // = 0.80305; the highest rung worth no more is "most", worth 0.8.
+TEST(FetchPlan, EqualStreamsShareALinkAtOneLevel) {
+  // By hand: capacity 33 for two equal streams gives 16.5 each, a utility of 1 - 0.8 / sqrt(16.5)
+  // = 0.80305; the highest rung with no higher utility is "most", with 0.8.
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
   Plan plan = settle(streams, kRungs, {{{"a"}, 33.0}}, Options{});
   DOUBLES_EQUAL(0.80305, plan.groups[0].level, 1e-4);
@@ -44,21 +44,21 @@
   CHECK(plan.groups[0].rounds <= 30);
 }
 
-TEST(FetchPlan, RoomForAllTopsGivesAllTops) {
+TEST(FetchPlan, WithEnoughCapacityAllStreamsGetTheirTopRungs) {
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
   Plan plan = settle(streams, kRungs, {{{"a"}, 100.0}}, Options{});
   LONGS_EQUAL(3, plan.shares[{1}].rung);
   CHECK(plan.groups[0].fits);
 }
 
-TEST(FetchPlan, WhereFloorsDontFitAllAreAtTheirFloors) {
+TEST(FetchPlan, WithoutCapacityForTheFloorsAllStreamsGetTheirFloorRungs) {
   std::vector<PlanStream> streams{stream(1, {{"a"}}, 1), stream(2, {{"a"}}, 1)};
   Plan plan = settle(streams, kRungs, {{{"a"}, 10.0}}, Options{});
   LONGS_EQUAL(1, plan.shares[{1}].rung);
   CHECK_FALSE(plan.groups[0].fits);
 }
 
-TEST(FetchPlan, AGroupsRatesComeOffTheOtherLinks) {
+TEST(FetchPlan, TheRatesOfAGroupReduceTheCapacityOfOtherLinks) {
   // Link a (capacity 17) is the most congested of streams 1 and 2: 8.5 each, rung "half".
   // They leave 40 - 16 = 24 on link b for stream 3, which wants 32 and gets "most".
   std::vector<PlanStream> streams{stream(1, {{"a"}, {"b"}}), stream(2, {{"a"}, {"b"}}),
@@ -71,16 +71,16 @@
   DOUBLES_EQUAL(24, plan.groups[1].capacity, 1e-9);
 }
 
-TEST(FetchPlan, ALinkNamedTwiceIsCountedOnce) {
+TEST(FetchPlan, ALinkTwiceInAPathIsSubtractedOnce) {
   std::vector<PlanStream> streams{stream(1, {{"a"}, {"b"}, {"b"}}), stream(2, {{"b"}})};
   Plan plan = settle(streams, kRungs, {{{"a"}, 8.5}, {{"b"}, 48.0}}, Options{});
   LONGS_EQUAL(1, plan.shares[{1}].rung);
   DOUBLES_EQUAL(40, plan.groups[1].capacity, 1e-9);
 }
 
-TEST(FetchPlan, HigherClassesReachTheSameWorthWithMoreRate) {
-  // The second class needs four times the rate for the same worth: of 50 it has its top, 32,
-  // and the first has 18, worth 1 - 0.8 / sqrt(18) = 0.81144.
+TEST(FetchPlan, AClassThatNeedsMoreRateForTheSameUtilityGetsMore) {
+  // The second class needs four times the rate for the same utility: of 50 it gets its top rung,
+  // 32, and the first gets 18, a utility of 1 - 0.8 / sqrt(18) = 0.81144.
   TenantClass wide{-1.6, -0.5, 1, 0};
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}}, 0, 3, wide)};
   Plan plan = settle(streams, kRungs, {{{"a"}, 50.0}}, Options{});
@@ -89,8 +89,9 @@
   LONGS_EQUAL(3, plan.shares[{2}].rung);
 }
 
-TEST(FetchPlan, ThePapersStartAndStepCannotGoBelow079) {
-  // Start 0.8, step 0.01, halved before each fall: 0.8 - 0.005 - 0.0025 - ... > 0.79.
+TEST(FetchPlan, TheSearchReachesLevelsThatAFixedStartAndStepCannot) {
+  // A search that starts at 0.8 with step 0.01, halved before each decrease, cannot get below 0.79:
+  // 0.8 - 0.005 - 0.0025 - ... > 0.79.
   double level = 0.8, step = 0.01;
   for (int round = 0; round < 1000; ++round) {
     step /= 2;
@@ -98,14 +99,15 @@
   }
   CHECK(level >= 0.79);
   DOUBLES_EQUAL(0.79, level, 1e-9);
-  // A link that only fits worth 0.6 needs less; the start in the middle of the range gets there.
+  // A link that only fits a utility of 0.6 needs less; a start in the middle of the range gets
+  // there.
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
   Plan plan = settle(streams, kRungs, {{{"a"}, 8.5}}, Options{});
   CHECK(plan.groups[0].level < 0.79);
   CHECK(plan.groups[0].fits);
 }
 
-TEST(FetchPlan, PropertiesOverManySeeds) {
+TEST(FetchPlan, InvariantsHoldWithManyRandomSeeds) {
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     Random random(seed);
     std::map<LinkId, double> capacities;
@@ -127,7 +129,7 @@
     for (const auto& one : streams) {
       const PlanShare& share = plan.shares.at(one.stream);
       CHECK(share.rung >= one.floorRung && share.rung <= one.topRung);
-      // No stream stands above its group's level, unless its floor does.
+      // No stream exceeds its group's level, unless its floor rung does.
       if (share.rung > one.floorRung)
         CHECK(worthOf(one.tenantClass, rateOf(share.rung)) <= share.level + 1e-9);
       for (const auto& link : std::set<LinkId>(one.links.begin(), one.links.end())) {
@@ -137,8 +139,8 @@
     }
     bool floorsFit = std::ranges::all_of(
         floors, [&](const auto& entry) { return entry.second <= capacities.at(entry.first); });
-    // A later group may still find its floors taken by an earlier one; each group on its own
-    // fits whenever some level of it did.
+    // An earlier group may have taken the capacity that a later one needs for its floors; each
+    // group by itself fits if some level of it did.
     for (const auto& group : plan.groups) {
       CHECK(group.rounds <= 30);
       if (group.fits) CHECK(group.total <= group.capacity + 1e-6);
@@ -184,7 +186,7 @@
 
 }  // namespace
 
-TEST(FetchPlan, FrontsWithUnequalMixesAndEqualNotesStandAtEqualLevels) {
+TEST(FetchPlan, RoutersWithEqualNotificationsComputeEqualLevels) {
   Setup setup = smallSetup();
   EngineList list = smallList();
   Options options;
@@ -194,7 +196,7 @@
   for (std::uint64_t front = 0; front < 3; ++front) {
     FetchDesk& desk = fronts.emplace_back(options);
     desk.links(list);
-    // Each front has streams of other classes over other paths, and more of them.
+    // Each router has streams of different classes over different paths, and a different number.
     for (std::uint64_t index = 0; index <= front * 2; ++index)
       desk.begin(fetchFor(front * 100 + index, list, index % 2 ? "e2" : "e1", "e3", front != 1),
                  setup, at(1), outbox);
@@ -212,7 +214,8 @@
       CHECK_EQUAL(fronts[0].plan().groups[group].level, desk.plan().groups[group].level);
     }
   }
-  // One front with an older note of another stands elsewhere: the check can fail.
+  // A router with an older notification computes another level, which shows that the check can
+  // fail.
   UsageNotification older = notes[2];
   for (auto& mix : older.mixes) mix.count *= 0.2;
   fronts[1].hear(older, at(6.1));
--- a/tests/units_test.cc
+++ b/tests/units_test.cc
@@ -1,4 +1,4 @@
-// Small machines one by one: options, budget, ring, digest, gate, control state, scenarios.
+// Options, retry budget, hash ring, digests, admission, control state and the scenario parser.
 #include "core/budget.h"
 #include "core/control_state.h"
 #include "core/digest.h"
@@ -14,7 +14,7 @@
 
 TEST_GROUP(Units){};
 
-TEST(Units, DefaultPropsKeepTheInequalities) {
+TEST(Units, DefaultOptionsSatisfyTheInequalities) {
   CHECK(checkOptions(Options{}).ok());
   Options options;
   CHECK(setOption(options, "leaseStop", "1.3").ok());
@@ -26,7 +26,7 @@
   CHECK_FALSE(checkOptions(options).ok());
 }
 
-TEST(Units, AReloadChangesOnlyWhatMayChange) {
+TEST(Units, AReloadChangesOnlyReloadableOptions) {
   Options reread;
   reread.lease = seconds(9);
   reread.probeEvery = seconds(2);
@@ -35,18 +35,18 @@
   CHECK(options.probeEvery == seconds(2));
 }
 
-TEST(Units, SecondShotsHaveNoFreeStartAndNoBurst) {
+TEST(Units, RetriesHaveNoInitialAllowanceAndNoBurst) {
   Budget budget(0.15, seconds(10));
   CHECK_FALSE(budget.takeSecond(at(0)));
   for (int shot = 0; shot < 6; ++shot) budget.first(at(0.1));
-  CHECK_FALSE(budget.takeSecond(at(0.2)));  // 0.9 of a shot is none
+  CHECK_FALSE(budget.takeSecond(at(0.2)));  // 0.15 * 6 = 0.9 allows no retry
   budget.first(at(0.3));
   CHECK(budget.takeSecond(at(0.4)));
   CHECK_FALSE(budget.takeSecond(at(0.5)));
-  CHECK_FALSE(budget.takeSecond(at(30)));  // what was saved up is forgotten
+  CHECK_FALSE(budget.takeSecond(at(30)));  // unused budget expires with the window
 }
 
-TEST(Units, BudgetShareHoldsOverAnySpan) {
+TEST(Units, RetryShareHoldsOverAnySpan) {
   Budget budget(0.15, seconds(10));
   Random random(3);
   double firsts = 0, seconds_ = 0;
@@ -62,7 +62,7 @@
   CHECK(seconds_ > 0.08 * firsts);
 }
 
-TEST(Units, PartNamesDifferByWallWeightsAndChain) {
+TEST(Units, PartNamesDependOnIsolationDomainWeightsAndPrefix) {
   PartName one = partName({"wall"}, {1}, {}, "rulebook");
   CHECK(one != partName({"other"}, {1}, {}, "rulebook"));
   CHECK(one != partName({"wall"}, {2}, {}, "rulebook"));
@@ -71,7 +71,7 @@
   CHECK(keyDigest("secret").value.find("secret") == std::string::npos);
 }
 
-TEST(Units, TheRingMovesLittleWhenAMemberGoes) {
+TEST(Units, OnlyTheEnginesOfARemovedMemberGetAnotherFirstOwner) {
   std::vector<MemberRecord> members(9);
   for (std::size_t index = 0; index < members.size(); ++index)
     members[index].member = {1000 + index};
@@ -91,7 +91,7 @@
   CHECK(wasGone > 15 && wasGone < 130);
 }
 
-TEST(Units, TheGateShedsLowRanksFirstAndIsFairWithinARank) {
+TEST(Units, AdmissionShedsLowRanksFirstAndIsFairWithinARank) {
   Gate gate{Options{}};
   Tenant high, low;
   high.rank = 0;
@@ -108,7 +108,7 @@
   CHECK(gate.allow({"small"}, flooding, busy) == GateVerdict::kAllowed);
 }
 
-TEST(Units, RetryAfterIsWholeSecondsAndSpread) {
+TEST(Units, RetryDelaysAreAtLeastASecondAndSpread) {
   Random random(5);
   std::set<std::int64_t> seen;
   for (int turn = 0; turn < 200; ++turn) {
@@ -119,7 +119,7 @@
   CHECK(seen.size() >= 4);
 }
 
-TEST(Units, EngineListsAreChecked) {
+TEST(Units, InvalidEngineListsAreRejected) {
   CHECK_FALSE(parseEngineList("{").ok());
   CHECK_FALSE(parseEngineList(R"({"version":0,"engines":[]})").ok());
   CHECK_FALSE(parseEngineList(R"({"version":1,"engines":[{"id":"a"}]})").ok());
@@ -137,7 +137,7 @@
   void setup() { apply(firstSetupBody("hutline", "1.1"), "first"); }
 };
 
-TEST(ControlStates, ARepeatedChangeIdIsOneChange) {
+TEST(ControlStates, ARepeatedChangeIdIsAppliedOnce) {
   auto once = apply(R"({"kind":"weights","basedOn":"1.1","label":"spring"})", "w");
   auto twice = apply(R"({"kind":"weights","basedOn":"1.1","label":"spring"})", "w");
   CHECK(once.outcome == ChangeOutcome::kDone && twice.outcome == ChangeOutcome::kDone);
@@ -145,7 +145,7 @@
   LONGS_EQUAL(2, readWeights(state.weightsText())->version.value);
 }
 
-TEST(ControlStates, AStaleBaseIsDeclinedTyped) {
+TEST(ControlStates, AChangeOnAStaleVersionIsRejectedAsStale) {
   CHECK(apply(R"({"kind":"weights","basedOn":"1.1","label":"a"})", "a").outcome ==
         ChangeOutcome::kDone);
   auto late = apply(R"({"kind":"weights","basedOn":"1.1","label":"b"})", "b");
@@ -153,7 +153,7 @@
   STRCMP_EQUAL("[basedOn]", late.field.c_str());
 }
 
-TEST(ControlStates, ErrorsNameTheField) {
+TEST(ControlStates, ErrorsNameTheInvalidField) {
   struct Row {
     const char* change;
     const char* field;
@@ -183,7 +183,7 @@
   CHECK(state.version() == before);
 }
 
-TEST(ControlStates, AWithdrawnKeyNeverComesBack) {
+TEST(ControlStates, AWithdrawnKeyCannotBeAddedAgain) {
   std::string digest = keyDigest("secret-of-rescue").value;
   CHECK(readKeys(state.keysText())->live.contains({digest}));
   CHECK(apply(R"({"kind":"key-withdraw","digest":")" + digest + R"("})", "out").outcome ==
@@ -193,7 +193,7 @@
   CHECK(again.outcome == ChangeOutcome::kInvalid);
 }
 
-TEST(ControlStates, TooLargeIsDeclinedAndTextRoundTrips) {
+TEST(ControlStates, ATooLargeChangeIsRejectedAndTheStateRoundTrips) {
   Options small;
   small.largestSetup = 100;
   auto answer = state.apply(firstSetupBody("hutline", "2.2"), "big", {2}, small);
@@ -206,7 +206,7 @@
 
 TEST_GROUP(Scenarios){};
 
-TEST(Scenarios, WrongOnesAreErrorsWithTheirLine) {
+TEST(Scenarios, ErrorsNameTheInvalidLine) {
   struct Row {
     const char* text;
     const char* where;
@@ -235,7 +235,7 @@
   }
 }
 
-TEST(ControlStates, OneTemplateOneParameterAndTheWayBack) {
+TEST(ControlStates, TemplatesParametersDryRunAndRevert) {
   Options options;
   ControlState state = ControlState::founded({1});
   auto ask = [&](Json change, const std::string& id) {
@@ -246,7 +246,7 @@
   CHECK(ask(first, "1").outcome == ChangeOutcome::kDone);
   std::string before = state.setupText();
   std::string version = versionText(state.sections().setup);
-  // What a change would do is told and not done; keys stay untold.
+  // A dry run reports what the change would do, and changes nothing.
   Json change{{"kind", "parameters"}, {"tenant", "rescue"}, {"parameters", {{"rank", 2}}}};
   change["dryRun"] = true;
   ChangeReply would = ask(change, "2");
@@ -257,8 +257,8 @@
   CHECK(ask(change, "3").outcome == ChangeOutcome::kDone);
   Setup now = *readSetup(state.setupText());
   CHECK_EQUAL(2, now.tenants[{"rescue"}].rank);
-  CHECK(now.tenants[{"rescue"}].wall == Wall{"wall-rescue"});  // the others stay
-  // A template that its tenants would not fit is declined, and names the field.
+  CHECK(now.tenants[{"rescue"}].wall == Wall{"wall-rescue"});  // the other parameters are unchanged
+  // A template that would make its tenants invalid is rejected; the error names the field.
   Json made{{"kind", "template"}, {"template", "steady"}, {"made", {{"class", "none"}}}};
   STRCMP_EQUAL("[templates][steady][class]", ask(made, "4").field.c_str());
   made["made"] = {{"class", "trail"}};
@@ -267,7 +267,7 @@
       "[tenant]",
       ask({{"kind", "parameters"}, {"tenant", "nobody"}, {"parameters", Json::object()}}, "6")
           .field.c_str());
-  // Back to the first: the same content under a new version, withdrawn keys stay withdrawn.
+  // A revert to the first version has its content under a new version; withdrawn keys stay so.
   std::string digest = keyDigest(exampleKey("rescue")).value;
   CHECK(state.apply(Json{{"kind", "key-withdraw"}, {"digest", digest}}.dump(), "7", {1}, options)
             .outcome == ChangeOutcome::kDone);
