--- a/src/core/engine_watch.cc
+++ b/src/core/engine_watch.cc
@@ -85,8 +85,8 @@
   if (engine == list.engines.end() || !mine_.contains(call.engine)) return true;
   switch (call.kind) {
     case CallKind::kHealth:
-      // The engine took the snapshot at some time after the request was sent, so the time of the
-      // request is the one that never makes it look too recent.
+      // The engine's state is from some time after the request was sent; the time of the request
+      // never makes it look more recent than it is.
       healthCame(engine->second, answer, call.since, outbox);
       break;
     case CallKind::kKept:
--- a/src/core/engine_watch.h
+++ b/src/core/engine_watch.h
@@ -68,7 +68,7 @@
   };
   struct Hold {
     MonotonicTime until = kNever;
-    std::map<std::int64_t, std::set<CoreId>> rounds;
+    std::map<std::int64_t, std::set<CoreId>> rounds;  // voters by the time of the request
   };
   void probe(const EngineEntry& engine, MonotonicTime now, Outbox& outbox);
   void healthCame(const EngineEntry& engine, const WebAnswered& answer, MonotonicTime now,
--- a/src/core/fetch_desk.h
+++ b/src/core/fetch_desk.h
@@ -24,8 +24,8 @@
   double topRate = 0;
   double megabytes = 0;
   MonotonicTime sent;
-  bool arrived = false;  // sent long enough ago to assume that its bytes were delivered
-  bool joined = false;   // reserved on each of its links
+  bool arrived = false;  // sent so long ago that it must be over
+  bool joined = false;   // on each of its links
 };
 
 /// The listed capacity of a link, in megabytes per second, and its zone. Without a zone, transfers
@@ -37,18 +37,18 @@
 
 /// What this router knows of one link: its capacity and the transfers over it.
 struct LinkBook {
-  double told = 0;      // listed capacity, megabytes per second
+  double told = 0;      // megabytes per second, from the platform's list
   double fraction = 0;  // of the listed capacity that the plan uses; rises from 0.75 to 0.95
   double cut = 0;       // taken off after a slow delivery; decays over time
   MonotonicTime cutAt = kNever;
   bool usedSinceRun = false;
   bool shortSinceRun = false;
-  double missing = 0;  // shortfall of the last slow delivery, until reported to the others
+  double missing = 0;  // of the last slow delivery, as a fraction
   Zone zone;
-  double common = 0;   // capacity for all routers together, as of the last rerun
-  double others = 0;   // rate of the other routers, as of the last rerun
-  double booked = 0;   // rate of the fetches reserved here, times their weights
-  double waiting = 0;  // megabytes that these have yet to deliver, times their weights
+  double common = 0;   // for all routers together, as of the last rerun
+  double others = 0;   // used by other routers, as of the last rerun
+  double booked = 0;   // of the fetches reserved here, times their weights
+  double waiting = 0;  // of these fetches, times their weights
 };
 
 /// Plans fetches over links that all routers share, and chooses the rung of each fetch: its step of
--- a/src/core/link_notes.h
+++ b/src/core/link_notes.h
@@ -27,8 +27,8 @@
 
 /// The sums of all routers' notifications for one link.
 struct LinkTotal {
-  double fractions = 0;     // sum of the usable fractions that routers report
-  std::int64_t notes = 0;   // routers that report a fraction
+  double fractions = 0;     // usable fractions, summed over the routers that report one
+  std::int64_t notes = 0;   // routers that report one
   double cut = 0;           // the largest that a router reports
   double othersRate = 0;    // megabytes per second, without this router's own
   double othersDemand = 0;  // the same if all streams were at their top rungs
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -117,7 +117,7 @@
   std::uint64_t lastRequest_ = 0;
   std::uint64_t lastShot_ = 0;
   std::uint64_t changesSeen_ = 0;
-  Duration base_ = milliseconds(60);  // mean time to the first piece without a fetch
+  Duration base_ = milliseconds(60);  // of streams without a fetch
   bool draining_ = false;
 };
 
