--- a/src/core/fetch_join.cc
+++ b/src/core/fetch_join.cc
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kUnderWay = milliseconds(100);  // of a fetch over a link without load
+constexpr Duration kUnderWay = milliseconds(100);  // upper bound over a link without load
 
 }  // namespace
 
--- a/src/core/fetch_plan.cc
+++ b/src/core/fetch_plan.cc
@@ -108,7 +108,7 @@
 
 double rateAt(const TenantClass& tenantClass, double worth) {
   double base = (worth - tenantClass.c) / tenantClass.a;
-  // A utility that no rate reaches: infinite for a curve with an upper bound, otherwise zero.
+  // No rate has this utility: it is above the whole curve if b is negative, otherwise below it.
   if (base <= 0) return tenantClass.b < 0 ? std::numeric_limits<double>::infinity() : 0;
   return std::pow(base, 1 / tenantClass.b);
 }
--- a/src/core/gate.h
+++ b/src/core/gate.h
@@ -43,8 +43,8 @@
   double running_ = 0;
 };
 
-/// The name of a verdict in answers to callers. Example: `verdictName(GateVerdict::kOverload) ==
-/// "overload"`.
+/// The name of a verdict in answers to callers.
+/// Example: `verdictName(GateVerdict::kOverload) == "overload"`.
 std::string_view verdictName(GateVerdict verdict);
 
 }  // namespace peppergate
--- a/src/core/ring.h
+++ b/src/core/ring.h
@@ -14,8 +14,7 @@
   static constexpr int kPlacesEach = 64;
   Ring() = default;
   explicit Ring(std::span<const MemberRecord> members);
-  /// The first different members clockwise from the engine's point, `count` of them if there are as
-  /// many.
+  /// The first different members clockwise from the engine's point, at most `count` of them.
   std::vector<MemberId> owners(const EngineId& engine, std::size_t count) const;
   /// Whether the ring was built from exactly these members.
   bool isFor(std::span<const MemberRecord> members) const;
--- a/tests/fetch_plan_test.cc
+++ b/tests/fetch_plan_test.cc
@@ -90,8 +90,8 @@
 }
 
 TEST(FetchPlan, TheSearchReachesLevelsThatAFixedStartAndStepCannot) {
-  // A search that starts at 0.8 with step 0.01, halved before each decrease, cannot get below 0.79:
-  // 0.8 - 0.005 - 0.0025 - ... > 0.79.
+  // The paper's search starts at 0.8 with step 0.01, halved before each decrease. It cannot get
+  // below 0.79: 0.8 - 0.005 - 0.0025 - ... > 0.79.
   double level = 0.8, step = 0.01;
   for (int round = 0; round < 1000; ++round) {
     step /= 2;
--- a/tests/units_test.cc
+++ b/tests/units_test.cc
@@ -246,7 +246,7 @@
   CHECK(ask(first, "1").outcome == ChangeOutcome::kDone);
   std::string before = state.setupText();
   std::string version = versionText(state.sections().setup);
-  // A dry run reports what the change would do, and changes nothing.
+  // A dry run reports what the change would do, without naming keys, and changes nothing.
   Json change{{"kind", "parameters"}, {"tenant", "rescue"}, {"parameters", {{"rank", 2}}}};
   change["dryRun"] = true;
   ChangeReply would = ask(change, "2");
