--- a/src/requests/answer_times.h
+++ b/src/requests/answer_times.h
@@ -1,5 +1,6 @@
 #pragma once
-// Whether answers came in time, and what made the late ones late, for the counters in the log.
+// Whether responses met their latency targets, and which target the late ones missed, for the
+// counters in the log.
 #include <string>
 #include <string_view>
 
@@ -8,18 +9,18 @@
 
 namespace peppergate {
 
-/// What became of one request, by its route's target and gap target.
+/// The latency of one response, compared with its route's target and gap target.
 enum class AnswerTiming : std::uint8_t {
   kInTime,
-  kLateFirst,  // the first event, or a plain answer's head, came after the target
-  kLatePause,  // a later pause between events was longer than the gap target
+  kLateFirst,  // the first event, or the head without a stream, came after the target
+  kLatePause,  // the gap between two later events exceeded the gap target
 };
 
-/// Follows one request from its arrival to its last event.
+/// Tracks the latency of one request from its arrival to its last event.
 class AnswerTimes {
  public:
   void arrived(MonotonicTime now) { arrived_ = now; }
-  /// An event, or the head of a plain answer, went to the client.
+  /// Records that an event, or the head of a response without a stream, went to the client.
   void event(const Route& route, MonotonicTime now) {
     if (last_ == kNever) lateFirst_ = route.target > Duration{} && now - arrived_ > route.target;
     else if (route.gapTarget > Duration{} && now - last_ > route.gapTarget) latePause_ = true;
@@ -35,8 +36,8 @@
   bool lateFirst_ = false, latePause_ = false;
 };
 
-/// The counter of complete answers of one timing and route urgency. Example:
-/// `answerCounter(AnswerTiming::kInTime, 2) == "answers.2.in_time"`.
+/// The name of the counter of complete responses with this timing and route urgency, such as
+/// "answers.2.in_time".
 std::string answerCounter(AnswerTiming timing, int urgency);
 
 }  // namespace peppergate
--- a/src/requests/attempt_budget.cc
+++ b/src/requests/attempt_budget.cc
@@ -4,17 +4,19 @@
 namespace {
 constexpr Duration kBucket = milliseconds(100);
 constexpr Duration kFrontMemory = seconds(60);
-/// Between the count here and the arrival at an engine, at most: a new connection takes so long.
+/// The longest delay between counting an attempt here and its arrival at the engine: the time to
+/// open a new connection.
 constexpr Duration kArrivesWithin = milliseconds(600);
 constexpr double kRounding = 1e-9;
 
-/// For so many buckets a further attempt counts: the window, the way to the engine, and the bucket
-/// that the window only touches.
+/// The number of buckets for which a retry counts: the window, the delay until it reaches the
+/// engine, and the bucket that the window covers only in part.
 std::int64_t furtherSpan(const BudgetTerms& terms) {
   return (terms.window + kArrivesWithin).microseconds / kBucket.microseconds + 1;
 }
 
-/// For so many buckets a first attempt pays: two windows without their edges.
+/// The number of buckets for which a first attempt counts: two windows, less the delay until it
+/// reaches the engine and the buckets that the windows cover only in part.
 std::int64_t firstSpan(const BudgetTerms& terms) {
   return (terms.window * 2 - kArrivesWithin).microseconds / kBucket.microseconds - 1;
 }
@@ -62,8 +64,8 @@
     return static_cast<double>(furthers) <= allowed + kRounding;
   };
   if (!fits()) return false;
-  // Later no first attempt may come any more, while those that pay now leave their two windows one
-  // by one: it has to hold at each such moment until this attempt has left its own window.
+  // No further first attempts may follow, while those counted now leave their two windows one by
+  // one. The limit has to hold at each such moment until this retry has left its own window.
   auto oldest = furthers_.buckets.begin();
   for (const Bucket& paying : firsts_.buckets) {
     std::int64_t leaves = paying.number + firstSpan(terms);
--- a/src/requests/attempt_budget.h
+++ b/src/requests/attempt_budget.h
@@ -1,16 +1,15 @@
 #pragma once
-// The retry budget: attempts beyond a request's first are paid for by first attempts that this
-// router sent.
+// The retry budget: limits retries to a share of the first attempts that this router sent.
 //
-// The bound binds the sum over all routers, within any span of one window: further attempts may be
-// at most `share` times the requests of that span, of the one before it or of the one half a window
-// before it, whichever holds the most. The largest of the three is at least the mean of the first
-// two, and a mean can be added up over routers. So each router by itself keeps
+// The limit applies to the sum over all routers, within any span of one window: retries may be at
+// most `share` times the requests of that span, of the span before it or of the span half a window
+// before it, whichever has the most requests. The largest of the three is at least the mean of the
+// first two, and means add up over routers. So each router on its own maintains
 //
-//     further attempts of one window <= share / 2 * first attempts of two windows + its slack
+//     retries of one window <= share / 2 * first attempts of two windows + its slack
 //
-// at every moment until its newest further attempt has left the window, also if it sends no first
-// attempt any more. No router has to know of another for the sum to hold.
+// at every moment until its newest retry has left the window, even if it sends no further first
+// attempts. The sum then holds without any coordination between routers.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -19,15 +18,15 @@
 
 namespace peppergate {
 
-/// What the budget allows now.
+/// Parameters of the budget.
 struct BudgetTerms {
   double share = 0.15;  // of the first attempts
   Duration window = seconds(10);
-  std::int64_t slack = 0;  // this router's part, in attempts
+  std::int64_t slack = 0;  // this router's share, in attempts
 };
 
-/// One service's budget at one router. Counts in buckets of 100 ms, so that an hour's traffic needs
-/// no more room than a second's.
+/// The retry budget of one service at one router. Counts in buckets of 100 ms, so that memory
+/// depends on the window and not on the rate of requests.
 class AttemptBudget {
  public:
   /// Counts a request's first attempt.
@@ -35,11 +34,11 @@
     forget(terms, now);
     firsts_.add(bucketOf(now));
   }
-  /// Whether one further attempt is paid for now.
+  /// Whether the budget allows one retry now.
   bool allows(const BudgetTerms& terms, MonotonicTime now);
-  /// Counts a further attempt.
+  /// Counts a retry.
   void take(MonotonicTime now) { furthers_.add(bucketOf(now)); }
-  /// A further attempt, taken at `taken`, never reached an engine.
+  /// Takes back a retry counted at `taken` that never reached an engine.
   void giveBack(MonotonicTime taken) { furthers_.remove(bucketOf(taken)); }
 
  private:
@@ -69,8 +68,8 @@
   MonotonicTime since_ = kNever;
 };
 
-/// A router's part of the slack, in attempts. Half of the slack is never used: it is there for
-/// routers that don't know of each other yet.
+/// A router's share of the slack, in attempts. Half of the slack is reserved for routers that don't
+/// know of each other yet.
 inline std::int64_t slackPart(double slack, std::size_t fronts) {
   double shared = static_cast<double>(std::max<std::size_t>(1, fronts));
   return static_cast<std::int64_t>(0.5 * slack / shared);
--- a/src/requests/core_lives.h
+++ b/src/requests/core_lives.h
@@ -1,5 +1,5 @@
 #pragma once
-// Which processes of core machines were seen, so that a restart of one is noticed.
+// Detects restarts of control node processes.
 #include <map>
 #include <set>
 #include <vector>
@@ -8,11 +8,12 @@
 
 namespace peppergate {
 
-/// A core process that ends and begins anew is a core in trouble, whoever led. Each life of a
-/// process has a member id of its own at the machine's address.
+/// Detects restarts by member id: each process at a control node's address has a member id of its
+/// own. A restart counts as control plane trouble whether or not the node was the leader.
 class CoreLives {
  public:
-  /// Takes the cores that are alive now; whether one that was seen before runs in a new life.
+  /// Takes the control nodes that are alive now. Returns whether one that was seen before has
+  /// restarted.
   bool restarted(const std::vector<MemberRecord>& cores) {
     bool found = false;
     for (const auto& core : cores) {
--- a/src/requests/events.h
+++ b/src/requests/events.h
@@ -1,5 +1,5 @@
 #pragma once
-// What clients' listener and engines' connections tell the requests' machine, and what it answers.
+// Events from the client listener and the engine connections, and the commands sent back to them.
 #include <memory>
 #include <optional>
 #include <string>
@@ -12,96 +12,96 @@
 
 namespace peppergate {
 
-using RequestId = Tagged<struct RequestIdTag, std::uint64_t>;  // this daemon's own count
+using RequestId = Tagged<struct RequestIdTag, std::uint64_t>;  // counted per process
 using AttemptId = Tagged<struct AttemptIdTag, std::uint64_t>;
 
-/// A message's bytes as they came, to be passed on; only a dialect looks inside.
+/// A client request as received, to be forwarded; only protocol dialects interpret it.
 struct WireRequest {
   std::string method, target;                                // target: path and query, as sent
   std::vector<std::pair<std::string, std::string>> headers;  // as sent, in order
   std::string body;
 };
-/// An engine's head as it came.
+/// The head of an engine's response as received.
 struct WireHead {
   int status = 0;
   std::string reason;
   std::vector<std::pair<std::string, std::string>> headers;
-  std::optional<std::size_t> length;  // of the body, where it was told
+  std::optional<std::size_t> length;  // of the body, if the head gives it
 };
 
-/// One part of a prompt; a prompt's parts stand in order.
+/// One prefix block of a prompt; a prompt's blocks are listed in order.
 struct PartSize {
   std::string id;
   std::int64_t tokens = 0;
 };
 
 // ---- events ----
-/// A client's whole request was read.
+/// A complete client request was read.
 struct RequestArrived {
   RequestId request;
-  std::string clientId;                      // names this try of the client; engines give it back
+  std::string clientId;                      // the client's id of this request; engines echo it
   std::string host;                          // as sent
   std::string path;                          // without the query
-  std::string key;                           // empty: none was sent
+  std::string key;                           // empty if none was sent
   std::optional<Duration> timeLeft;          // how long the client waits
-  std::optional<std::uint64_t> resumeAfter;  // the client has all events up to this one
+  std::optional<std::uint64_t> resumeAfter;  // the client already has all events up to this id
   ModelName model;
   std::int64_t tokensIn = 0, tokensOut = 0;
   std::vector<PartSize> parts;
   std::shared_ptr<const WireRequest> wire;
 };
-/// The client's connection ended before its answer did.
+/// The client disconnected before its response was complete.
 struct RequestGone {
   RequestId request;
 };
-/// The client reads slower (or again fast enough) than its answer comes.
+/// Backpressure: the client reads more slowly than its response arrives, or catches up again.
 struct ClientSlow {
   RequestId request;
   bool slow = false;
 };
 
 enum class AttemptTurn : std::uint8_t {
-  kWritten,     // its first byte was handed to a socket: it may run from now on
-  kHead,        // the engine's head came
-  kBody,        // some of its body came; of a stream whole events only
-  kEnded,       // the body is whole by its own length, the id was the right one
-  kBroken,      // the connection ended, was garbled, or another request's answer came
-  kNotWritten,  // not one byte left: no connection came up, or it was too late
+  kWritten,     // its first byte was written to a socket: it may run from now on
+  kHead,        // the response head arrived
+  kBody,        // part of the body arrived; of a stream, complete events only
+  kEnded,       // the response is complete by its own framing and has the right request id
+  kBroken,      // the connection ended, or sent invalid data or another request's response
+  kNotWritten,  // no byte was written: the connection failed, or writeBefore had passed
 };
 struct AttemptTurned {
   AttemptId attempt;
   AttemptTurn turn = AttemptTurn::kBroken;
   // With kHead:
   std::shared_ptr<const WireHead> head;
-  bool notRun = false;   // the engine says that it did not run the request
-  bool success = false;  // a 2xx that has the engine's stamp
+  bool notRun = false;   // the engine states that it did not run the request
+  bool success = false;  // a 2xx marked by the engine as its own success
   std::optional<EngineLoad> load;
-  std::map<ModelName, WeightsVersion> versions;  // as the head tells them, if it does
+  std::map<ModelName, WeightsVersion> versions;  // model versions in the head, if any
   std::optional<Duration> retryAfter;
-  bool leaving = false;  // the engine closes the connection after this answer
+  bool leaving = false;  // the engine closes the connection after this response
   // With kBody:
   std::string bytes;
-  std::optional<std::uint64_t> lastEvent;  // the last whole event's id in `bytes`
+  std::optional<std::uint64_t> lastEvent;  // id of the last complete event in `bytes`
   std::optional<std::uint64_t> firstEvent;
-  std::optional<WeightsVersion> newVersion;  // an event said that the weights changed
+  std::optional<WeightsVersion> newVersion;  // an event reported new weights
 };
 
 // ---- commands ----
-/// Sends a request to an engine, on a kept or a new connection.
+/// Sends a request to an engine, on a pooled or a new connection.
 struct OpenAttempt {
   AttemptId attempt;
   RequestId request;
   std::shared_ptr<const WireRequest> wire;
   std::string clientId;
   Address address;
-  EngineId engine;  // every other engine at this address declines it
+  EngineId engine;  // any other engine at this address declines the request
   bool stream = false;
-  Duration timeLeft;  // told to the engine: it stops then
+  Duration timeLeft;  // sent to the engine, which stops then
   std::optional<std::uint64_t> resumeAfter;
-  TenantId tenant;   // empty: the route is open
-  std::string salt;  // what kept parts are found under
+  TenantId tenant;   // empty on an open route
+  std::string salt;  // scopes the cached prefix blocks
   int urgency = 5;
-  std::optional<WeightsVersion> expect;  // engines with other weights decline
+  std::optional<WeightsVersion> expect;  // engines with other weights decline the request
   std::optional<Address> collectFrom, depositAt;
   Duration connectTimeout = seconds(0.5);
   MonotonicTime writeBefore = kForever;  // checked again at the write itself
@@ -113,8 +113,8 @@
   AttemptId attempt;
   bool paused = false;
 };
-/// The engine's head goes to the client, with all of the engine's own headers but those of one
-/// connection.
+/// Forwards the engine's response head to the client with all of its headers except hop-by-hop
+/// headers.
 struct AnswerHead {
   RequestId request;
   std::shared_ptr<const WireHead> head;
@@ -123,17 +123,17 @@
   RequestId request;
   std::string bytes;
 };
-/// The answer is over: whole, or cut so that it can't be taken for whole.
+/// Ends the response: complete, or truncated so that the client can't take it for complete.
 struct AnswerDone {
   RequestId request;
   bool whole = true;
 };
-/// The system's own final answer, at once.
+/// Rejects the request with a response of the router's own.
 struct RefuseRequest {
   RequestId request;
   int status = 503;
-  std::string_view kind;               // for people; a constant
-  std::optional<Duration> retryAfter;  // when to come back
+  std::string_view kind;               // human-readable; a constant
+  std::optional<Duration> retryAfter;  // for the Retry-After header
 };
 
 }  // namespace peppergate
--- a/src/requests/fleet_facts.h
+++ b/src/requests/fleet_facts.h
@@ -1,5 +1,5 @@
 #pragma once
-// What requests need to know of the fleet: configuration, weights, freshness, fronts.
+// What request handling needs to know of the fleet: configuration, weights, freshness, routers.
 #include <cstdint>
 #include <string_view>
 
@@ -7,25 +7,25 @@
 
 namespace peppergate {
 
-/// Example: `if (now >= facts.freshUntil(now)) refuse("stale");`
+/// A read-only view of the fleet's control state and membership.
 class FleetFacts {
  public:
   virtual ~FleetFacts() = default;
-  /// The configuration in force now. Example: `facts.config().services`.
+  /// The current configuration.
   virtual const FleetConfig& config() const = 0;
-  /// Its route for a request, its tenant for a key; null if there is none.
-  /// Example: `facts.route("desk.example", "/a/b")`, `facts.tenantOfKey("secret")`.
+  /// The configured route of a request, and the tenant of an access key; null if there is none.
   virtual const Route* route(std::string_view host, std::string_view path) const = 0;
   virtual const TenantConfig* tenantOfKey(std::string_view key) const = 0;
-  /// The named weights. Example: handed to the placer.
+  /// The weights version named for each model, for placement.
   virtual const Weights& weights() const = 0;
-  /// Whether any configuration was ever installed here. Example: false after the start.
+  /// Whether a configuration has been installed since this process started.
   virtual bool installed() const = 0;
-  /// When the proof of freshness runs out; not after `now` if it has. Example: see the class.
+  /// When the proof of freshness expires; `now` or earlier if it has expired. No attempt may start
+  /// after that.
   virtual MonotonicTime freshUntil(MonotonicTime now) const = 0;
-  /// Raised by each install. Example: compare, to forget what was read out of the last one.
+  /// Incremented by each install, so that callers know when to drop what they cached.
   virtual std::uint64_t changes() const = 0;
-  /// The fronts that share the budget, this one among them. Example: 9.
+  /// The number of routers that share the retry budget, including this one.
   virtual std::size_t liveFronts() const = 0;
 };
 
--- a/src/requests/follower_facts.h
+++ b/src/requests/follower_facts.h
@@ -1,13 +1,12 @@
 #pragma once
-// The fleet's facts out of a front's follower and membership.
+// View of the fleet backed by a router's follower and membership.
 #include "core/follower.h"
 #include "core/membership.h"
 #include "requests/fleet_facts.h"
 
 namespace peppergate {
 
-/// The facts as a front's follower and membership have them.
-/// Example: `FollowerFacts facts(options, follower, membership);`
+/// Reads the control state from the follower and the live routers from the membership.
 class FollowerFacts final : public FleetFacts {
  public:
   FollowerFacts(const Options& options, const Follower& follower, const Membership& membership)
--- a/src/requests/leader_silence.h
+++ b/src/requests/leader_silence.h
@@ -1,18 +1,19 @@
 #pragma once
-// How long the fleet was without a leader, as one of its followers saw it.
+// How long the fleet was without a leader, as seen by one follower.
 #include <algorithm>
 
 #include "core/types.h"
 
 namespace peppergate {
 
-/// Measures the time without proofs of a leader until the leader of a later epoch is heard. A
-/// silence that the same leader ends is this follower's own and counts for nothing, and neither
-/// does time in which this process didn't run.
+/// Measures the time without a leader's proof of freshness until the leader of a later epoch is
+/// heard. A gap that the same leader ends is a fault of this follower's connection and isn't
+/// counted; nor is time in which this process didn't run.
 class LeaderSilence {
  public:
-  /// `lastProof`: when the newest proof of a leader began, `epoch`: of its view. Returns the
-  /// silence that a new leader ended just now, else zero. Call it with each tick.
+  /// Called on each tick. `lastProof`: when the newest proof was issued; `epoch`: the epoch of the
+  /// leader that issued it. Returns the length of the outage that a new leader has just ended, else
+  /// zero.
   Duration tick(MonotonicTime lastProof, Epoch epoch, MonotonicTime now) {
     bool silent = now - lastProof > kProofsComeWithin;
     if (silent && lastTick_ != kNever)
--- a/src/requests/placer.h
+++ b/src/requests/placer.h
@@ -1,5 +1,6 @@
 #pragma once
-// What requests need of placing, of the engines' book and of the index of kept parts.
+// Interfaces that request handling needs: engine placement, traffic records of engines, and the
+// index of cached prefix blocks.
 #include <cstdint>
 #include <optional>
 #include <span>
@@ -17,43 +18,43 @@
 struct Weights;                        // core/control_state.h
 enum class AttemptEnd : std::uint8_t;  // engines/engine_book.h
 
-/// Chooses engines. Example: `placer.place(ask, config, weights, now, outbox)`.
+/// Chooses the engine of each attempt.
 class Placer {
  public:
   virtual ~Placer() = default;
-  /// The engine for one attempt, or why there is none. Example: see the class.
+  /// Returns the engine for one attempt, or why there is none.
   virtual std::variant<Placed, PlaceRefusal> place(const PlacementAsk& ask,
                                                    const FleetConfig& config,
                                                    const Weights& weights, MonotonicTime now,
                                                    Outbox& outbox) = 0;
-  /// The first event came, after so long. Example: on the first body bytes of a stream.
+  /// Called when the first event of an attempt arrives, `took` after it was sent.
   virtual void firstEvent(RequestId request, Duration took, MonotonicTime now, Outbox& outbox) = 0;
-  /// The attempt ended without one. Example: on kBroken.
+  /// Called when an attempt ends without a first event.
   virtual void dropped(RequestId request) = 0;
 };
 
-/// Keeps what traffic shows of engines. Example: `ledger.sent(engine, tokens)`.
+/// Records load, latency and failures of engines as seen in this router's traffic.
 class EngineLedger {
  public:
   virtual ~EngineLedger() = default;
-  /// An attempt goes out with so many tokens to be read. Example: before OpenAttempt.
+  /// Called before an attempt is sent, with the number of tokens to prefill.
   virtual void sent(const EngineId& engine, std::int64_t prefillTokens) = 0;
-  /// Its head or first event came. Example: `ledger.firstEvent(engine, tokens, took)`.
+  /// Called when the first event of an attempt (or its head, without a stream) arrives.
   virtual void firstEvent(const EngineId& engine, std::int64_t prefillTokens, Duration took) = 0;
-  /// It is over. Example: `ledger.ended(engine, AttemptEnd::kGood, tokens, true, now)`.
+  /// Called when an attempt ends. `hadFirst`: its first event had arrived.
   virtual void ended(const EngineId& engine, AttemptEnd how, std::int64_t prefillTokens,
                      bool hadFirst, MonotonicTime now) = 0;
-  /// The engine told its load, or a version of its weights. Example: with a head.
+  /// Called when an engine reports its load, or the version of a model's weights.
   virtual void told(const EngineId& engine, const EngineLoad& load, MonotonicTime now) = 0;
   virtual void toldVersion(const EngineId& engine, const ModelName& model,
                            WeightsVersion version) = 0;
 };
 
-/// Notes what an engine keeps once it has read a prompt. Example: `parts.expect(id, salt, list)`.
+/// Records the prefix blocks that an engine should have cached after it has read a prompt.
 class KeptParts {
  public:
   virtual ~KeptParts() = default;
-  /// Called once a request's first event came. Example: see the class.
+  /// Called once the first event of a request has arrived.
   virtual void expect(const EngineId& engine, const std::string& salt,
                       std::span<const PartSize> parts) = 0;
 };
--- a/src/requests/request_resume.cc
+++ b/src/requests/request_resume.cc
@@ -1,17 +1,18 @@
-// Streams under way that have no engine for the moment: they are suspended, not cut.
+// Streams in progress that have no engine for now: they are suspended instead of truncated.
 #include <algorithm>
 
 #include "requests/request_state.h"
 
 namespace peppergate {
 namespace {
-/// How soon an engine is looked for again, at the earliest and at the latest.
+/// The shortest and the longest wait before a suspended stream is retried.
 constexpr Duration kLeastWait = milliseconds(50);
 constexpr Duration kLongestWait = milliseconds(250);
 }  // namespace
 
-/// Whether a hurdle may pass while the client still waits. Only an answer that another engine can
-/// go on with is suspended: all else is refused or ended at once.
+/// Whether the reason for the failure may be temporary and the request may wait for it to pass.
+/// Only a response that another engine can continue is suspended; all others are rejected or ended
+/// at once.
 bool Requests::State::maySuspend(const LiveRequest& request, Hurdle hurdle) const {
   bool resumable = request.answering && request.stream() && request.route->resumable &&
                    !request.lengthPassed && (request.lastEvent || !request.bytesPassed);
@@ -29,7 +30,7 @@
   }
 }
 
-/// The stream stays open without an attempt; engines that were asked before may be asked again.
+/// Keeps the stream open without an attempt. Engines that were already tried may be tried again.
 void Requests::State::suspend(LiveRequest& request, std::optional<Duration> wait, MonotonicTime now,
                               Outbox& outbox) {
   outbox.count("streams.suspended");
--- a/src/requests/request_rules.cc
+++ b/src/requests/request_rules.cc
@@ -27,7 +27,7 @@
     {503, "leaving", "requests.refused.leaving"},
 }};
 
-/// Statuses by which an answer says that the request has not run and never will.
+/// Statuses that tell a client that the request has not run and never will.
 constexpr bool promisesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -38,7 +38,8 @@
   return places;
 }
 
-/// The place of a value; one that is not among them gets the place of the next larger one.
+/// The index of a value. A value that isn't listed gets the index of the next larger one, or the
+/// last index.
 int placeOf(const std::map<int, int>& places, int value) {
   auto found = places.lower_bound(value);
   return found == places.end() ? static_cast<int>(places.size()) - 1 : found->second;
@@ -54,7 +55,7 @@
   int status = turned.head->status;
   bool good = status >= 200 && status < 300;
   if (good) {
-    // With the engine's "not run" beside it, such a head contradicts itself.
+    // A success that also states "not run" contradicts itself.
     if (turned.success && !turned.notRun) return HeadVerdict::kSuccess;
     return repeatable ? HeadVerdict::kFailed : HeadVerdict::kNoAnswer;
   }
--- a/src/requests/request_rules.h
+++ b/src/requests/request_rules.h
@@ -1,5 +1,6 @@
 #pragma once
-// Pure rules of requests: what an engine's head means, how services share a route, urgency, times.
+// Stateless request rules: meaning of a response head, weighted choice of a service, urgency ranks,
+// timeouts and Retry-After.
 #include <map>
 #include <string_view>
 
@@ -8,7 +9,7 @@
 
 namespace peppergate {
 
-/// Why no attempt can be made now.
+/// Why no attempt can be made now, or why a request failed.
 enum class Hurdle : std::uint8_t {
   kNotInstalled = 0,
   kStale,
@@ -26,53 +27,53 @@
   kNotResumable,
   kLeaving,
 };
-/// How a request that nothing ran for is refused over a hurdle, and its counters.
+/// The response to a request that is rejected for one reason, and its counter.
 struct HurdleRow {
   int status;
   std::string_view kind;
-  std::string_view refused;  // the counter of refusals
+  std::string_view refused;  // name of the counter of rejections
 };
-/// Example: `hurdleRow(Hurdle::kNoRoute).status == 404`.
 const HurdleRow& hurdleRow(Hurdle hurdle);
 
-/// What an engine's head means for the request.
+/// What the head of an engine's response means for the request.
 enum class HeadVerdict : std::uint8_t {
-  kSuccess,   // it is the answer
+  kSuccess,   // the response to forward
   kNotRun,    // the engine did not run the request and never will
-  kFailed,    // it may have run; another engine may fare better
-  kFinal,     // it may have run; another engine would say the same
-  kNoAnswer,  // it may have run; never to be passed on as it is
+  kFailed,    // it may have run; another engine may succeed
+  kFinal,     // it may have run; another engine would respond the same
+  kNoAnswer,  // it may have run; must not be forwarded as it is
 };
-/// Judges a head. Statuses that promise "not run" are no answer without the engine's own word, for
-/// what may not run twice. Example: `judgeHead(turned, false) == HeadVerdict::kSuccess`.
+/// Classifies a response head. A client may read some statuses (such as 503) as "not run". For a
+/// request that must not run twice, such a status must not be forwarded unless the engine states
+/// explicitly that it did not run the request.
 HeadVerdict judgeHead(const AttemptTurned& turned, bool repeatable);
 
-/// The service of a request: shares come out over many client ids; a client id keeps its own.
-/// Example: `chooseService(route, "9c41")`; null if the route has none.
+/// Chooses a service by weight from a hash of the client id, so that one client id always gets the
+/// same service. Null if the route has no service with a weight.
 const ServiceShare* chooseService(const Route& route, std::string_view clientId);
 
-/// Ranks from 0 (most urgent) to 9: the tenant's urgency first, then the route's.
-/// Example: `UrgencyTable table(config); table.of(1, 0) < table.of(1, 2)`.
+/// Maps urgencies to ranks from 0 (most urgent) to 9, ordered by the tenant's urgency first and the
+/// route's second.
 class UrgencyTable {
  public:
   UrgencyTable() = default;
   explicit UrgencyTable(const FleetConfig& config);
   int of(int tenant, int route) const;
-  /// The urgency of requests without a tenant. Example: on an open route.
+  /// The urgency of requests without a tenant, as on an open route.
   static constexpr int kNoTenant = 5;
 
  private:
-  std::map<int, int> tenants_, routes_;  // urgency to its place
+  std::map<int, int> tenants_, routes_;  // index of each urgency in ascending order
 };
 
-/// How long an attempt may be silent before another engine is tried, first and between events.
-/// Example: `firstSilence(route) >= seconds(1.5)`.
+/// How long an attempt may be silent before another engine is tried: before its first event, and
+/// between events.
 Duration firstSilence(const Route& route);
 Duration eventSilence(const Route& route);
-/// The least time left that an attempt is worth making with. Example: a tenth of the target.
+/// The least time before the deadline with which an attempt is still made.
 Duration leastTime(const Route& route);
-/// When a refused client should come back: as forecast, at random without a forecast, and never
-/// above a third of its time. Example: `comeBackAfter({}, seconds(3), random)`.
+/// The Retry-After of a rejected request: the forecast, or a random delay without one, and at most
+/// a third of the time that the client has left.
 Duration comeBackAfter(std::optional<Duration> forecast, Duration timeLeft, Random& random);
 
 }  // namespace peppergate
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -1,5 +1,5 @@
 #pragma once
-// The requests' tables, shared by the files that implement `Requests`; nobody else needs them.
+// Internal state of request handling, shared only by the files that implement it.
 #include <set>
 #include <unordered_map>
 #include <vector>
@@ -13,7 +13,7 @@
 
 namespace peppergate {
 
-/// One engine's try at a request. A request has at most one at a time.
+/// One attempt of a request at one engine. A request has at most one at a time.
 struct LiveAttempt {
   AttemptId id;
   EngineId engine;
@@ -22,15 +22,15 @@
   MonotonicTime opened, writeBefore;
   std::optional<WeightsVersion> expect;
   bool written = false;
-  bool paid = false;     // out of the budget
-  bool resumed = false;  // it goes on behind events that the client has from this answer
-  bool first = false;    // its first event (or head, without a stream) came
+  bool paid = false;     // charged to the retry budget
+  bool resumed = false;  // continues a response of which the client already has a part
+  bool first = false;    // its first event (or head, without a stream) arrived
   std::shared_ptr<const WireHead> head;
-  bool failure = false;                    // the head is an engine's failure, passed on as it is
-  std::optional<std::uint64_t> lastEvent;  // of this run
+  bool failure = false;                    // the head is an engine's error, forwarded unchanged
+  std::optional<std::uint64_t> lastEvent;  // id of the last event of this attempt
 };
 
-/// A client's request from its arrival to its one final answer.
+/// A client request from its arrival to its one final response.
 struct LiveRequest {
   RequestArrived asked;
   std::shared_ptr<const Route> route;
@@ -40,24 +40,24 @@
   AnswerTimes times;
   std::optional<LiveAttempt> attempt;
   std::vector<EngineId> tried;
-  int sent = 0;               // attempts that are over and may have reached their engine
-  int runs = 0;               // those of them that may have run
-  int unwritten = 0;          // attempts that never left
-  bool counted = false;       // its first attempt was counted for the budget
-  bool mayHaveRun = false;    // some attempt that is over may have run
-  bool answering = false;     // the client got a head
-  bool bytesPassed = false;   // and some of the body
-  bool lengthPassed = false;  // and the head told the body's length
+  int sent = 0;               // ended attempts that may have reached their engine
+  int runs = 0;               // of those, attempts that may have run
+  int unwritten = 0;          // attempts of which no byte was written
+  bool counted = false;       // its first attempt was counted in the retry budget
+  bool mayHaveRun = false;    // some ended attempt may have run
+  bool answering = false;     // a response head was forwarded to the client
+  bool bytesPassed = false;   // part of the body was forwarded
+  bool lengthPassed = false;  // the forwarded head gives the body's length
   bool slow = false;
-  std::optional<std::uint64_t> lastEvent;  // passed to the client
-  std::uint64_t largestStep = 0;           // between ids of events, as seen
-  std::optional<Duration> retryAfter;      // as an engine told it
-  MonotonicTime resumeAt = kForever;       // suspended: when an engine is looked for again
+  std::optional<std::uint64_t> lastEvent;  // id of the last event forwarded to the client
+  std::uint64_t largestStep = 0;           // largest step seen between event ids
+  std::optional<Duration> retryAfter;      // as last given by an engine
+  MonotonicTime resumeAt = kForever;       // while suspended: the time of the next retry
 
   bool stream() const { return route->kind == RouteKind::kStream; }
 };
 
-/// What an attempt needs before it can be sent.
+/// An attempt that may be sent: its engine and the terms that it was checked against.
 struct AttemptPlan {
   Placed placed;
   ServiceName service;
@@ -134,15 +134,15 @@
 
   RequestParts parts;
   std::unordered_map<std::uint64_t, LiveRequest> requests;
-  std::unordered_map<std::uint64_t, std::uint64_t> attempts;  // attempt to its request
+  std::unordered_map<std::uint64_t, std::uint64_t> attempts;  // request id by attempt id
   std::set<std::pair<MonotonicTime, std::uint64_t>> dues;
   std::map<ServiceName, AttemptBudget> budgets;
-  std::map<EngineId, MonotonicTime> heardOf;  // when an engine last answered anything here
+  std::map<EngineId, MonotonicTime> heardOf;  // last response from each engine to any request
   FrontCount fronts;
   MonotonicTime frontsSeen = kNever;
-  MonotonicTime leavingSince = kForever;  // since the daemon was told to leave
-  bool lastAnswersGiven = false;          // shortly before its end
-  // Read out of the configuration that is in force:
+  MonotonicTime leavingSince = kForever;  // when draining began
+  bool lastAnswersGiven = false;          // the rejections shortly before exit were sent
+  // Caches derived from the current configuration:
   std::uint64_t changes = 0;
   bool cached = false;
   std::unordered_map<const Route*, std::shared_ptr<const Route>> routes;
--- a/src/requests/request_times.cc
+++ b/src/requests/request_times.cc
@@ -1,22 +1,22 @@
-// What time does to requests: deadlines, silent engines, clients that read slowly.
+// Time-driven request handling: deadlines, silent engines, slow clients, and draining.
 #include <algorithm>
 
 #include "requests/request_state.h"
 
 namespace peppergate {
 namespace {
-/// How soon a silent attempt is looked at again when no other engine could be had.
+/// When a silent attempt is checked again after no other engine was available.
 constexpr Duration kLookAgain = milliseconds(250);
 constexpr Duration kFrontsEvery = seconds(1);
-/// So long before the end of the grace time the last answers are given.
+/// How long before the end of the grace time the remaining requests are rejected.
 constexpr Duration kLastAnswers = milliseconds(850);
-/// An engine that answered anything within this is taken for a living one.
+/// An engine that has responded to any request within this time counts as alive.
 constexpr Duration kAnswersOthers = seconds(1);
 }  // namespace
 
-/// When the attempt under way will have been silent for too long; nothing if silence is to be
-/// borne: a run that may not be repeated, an answer that can't be joined, a client that reads
-/// slowly itself.
+/// When the current attempt will have been silent for too long. Nothing if silence is tolerated:
+/// the request must not be repeated, the response can't be continued by another engine, or the
+/// client itself reads slowly.
 std::optional<MonotonicTime> Requests::State::silentAt(const LiveRequest& request) const {
   if (!request.attempt || request.slow || !repeatable(*request.route)) return std::nullopt;
   const LiveAttempt& attempt = *request.attempt;
@@ -28,14 +28,14 @@
   return request.heard + eventSilence(*request.route);
 }
 
-/// When the request has to be looked at next: at its deadline at the latest.
+/// When the request has to be checked next: at its deadline at the latest.
 MonotonicTime Requests::State::dueAt(const LiveRequest& request) const {
   auto silent = silentAt(request);
   return std::min({request.deadline, request.resumeAt, silent.value_or(kForever)});
 }
 
-/// Notes when the request has to be looked at next. What comes meanwhile only moves that back, so
-/// events of a stream don't touch the order; it is found out when the time has come.
+/// Schedules the request's next check. Events of a stream don't reschedule it: they only move the
+/// check to a later time, which is recomputed when the scheduled check runs.
 void Requests::State::arm(LiveRequest& request) {
   MonotonicTime due = dueAt(request);
   std::uint64_t id = request.asked.request.value;
@@ -72,7 +72,8 @@
 
 void Requests::State::leave(MonotonicTime now) { leavingSince = std::min(leavingSince, now); }
 
-/// A client that has nothing yet is answered rather than left with a closed connection.
+/// Rejects the requests without a response shortly before the process exits, as otherwise their
+/// clients would only see a closed connection.
 void Requests::State::answerBeforeEnd(MonotonicTime now, Outbox& outbox) {
   if (lastAnswersGiven || now - leavingSince < parts.options.graceTime - kLastAnswers) return;
   lastAnswersGiven = true;
@@ -96,12 +97,13 @@
   arm(request);
 }
 
-/// Another engine is found first; until there is one, the silent one may still answer.
+/// Retries at another engine. The silent attempt is cancelled only once another engine is found;
+/// until then it may still respond.
 void Requests::State::silent(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
   LiveAttempt& attempt = *request.attempt;
   bool hadFirst = attempt.first;
-  // An engine that answers others is no dead one: its queue is long, and elsewhere the prompt would
-  // have to be read once more.
+  // An engine that responds to other requests is alive: its queue is long, and another engine would
+  // have to prefill the prompt again.
   auto heard = heardOf.find(attempt.engine);
   if (heard != heardOf.end() && now - heard->second < kAnswersOthers) {
     outbox.count("attempts.slow_kept");
--- a/src/requests/request_turns.cc
+++ b/src/requests/request_turns.cc
@@ -1,4 +1,4 @@
-// What an attempt's turns mean for its request.
+// How the events of an attempt affect its request.
 #include <algorithm>
 
 #include "requests/request_state.h"
@@ -6,20 +6,22 @@
 namespace peppergate {
 namespace {
 
-/// How far a failure is the engine's own. Its 504 at a deadline is not, nor is a 4xx.
+/// Whether an error status counts as a failure of the engine. A 504 at a deadline or a 4xx doesn't.
 AttemptEnd blameOf(int status) {
   if (status >= 200 && status < 300) return AttemptEnd::kGarbled;
   return status >= 500 && status != 504 ? AttemptEnd::kBroken : AttemptEnd::kGood;
 }
 
-/// An engine that holds other weights than were expected is not another engine.
+/// Whether the engine declined because it has other weights than expected. This means that the
+/// engine itself is the right one, not that another engine has taken over its address.
 bool tellsOtherWeights(const AttemptTurned& turned, const ModelName& model,
                        const std::optional<WeightsVersion>& expect) {
   auto told = turned.versions.find(model);
   return expect && told != turned.versions.end() && told->second != *expect;
 }
 
-/// Ids rise by one for each event, or by one for each of its tokens.
+/// The largest step between event ids: ids rise by one for each event, or for each token of an
+/// event.
 std::uint64_t strideOf(const FleetConfig& config, const ServiceName& service) {
   auto found = config.services.find(service);
   if (found == config.services.end() || !found->second.engine) return 1;
@@ -30,7 +32,7 @@
 
 void Requests::State::turn(AttemptTurned turned, MonotonicTime now, Outbox& outbox) {
   auto owner = attempts.find(turned.attempt.value);
-  if (owner == attempts.end()) return;  // its request let go of it
+  if (owner == attempts.end()) return;  // it no longer belongs to a request
   LiveRequest& request = requests.at(owner->second);
   LiveAttempt& attempt = *request.attempt;
   if (turned.turn == AttemptTurn::kNotWritten && !attempt.written)
@@ -69,7 +71,7 @@
         request.times.event(*request.route, now);
         firstCame(request, now, outbox);
       }
-      if (!repeatable(*request.route)) request.asked.wire.reset();  // nothing is sent again
+      if (!repeatable(*request.route)) request.asked.wire.reset();  // there will be no retry
       return arm(request);
     case HeadVerdict::kNotRun:
       return declined(request, turned, now, outbox);
@@ -84,8 +86,8 @@
   }
 }
 
-/// The engine did not run it and never will. Its attempt is left to end by itself, so that the
-/// connection can be used again.
+/// The engine did not run the request and never will. The attempt is not cancelled but ends by
+/// itself, so that its connection can be reused.
 void Requests::State::declined(LiveRequest& request, const AttemptTurned& turned, MonotonicTime now,
                                Outbox& outbox) {
   outbox.count("attempts.declined");
@@ -96,14 +98,16 @@
   if (request.slow) outbox.push(PauseAttempt{request.attempt->id, false});
   release(request, how, now);
   ++request.sent;
-  // A stream under way waits a moment once as many engines declined as it may run on.
+  // A stream in progress waits before its next attempt once as many engines have declined it as the
+  // route allows attempts.
   if (request.sent - request.runs >= request.route->attempts &&
       maySuspend(request, Hurdle::kDeclined))
     return suspend(request, turned.retryAfter, now, outbox);
   again(request, "attempts.again.declined", {Hurdle::kDeclined}, now, outbox);
 }
 
-/// A failure that may have run: another engine, where that may be; else it is passed on.
+/// The engine responded with an error after the request may have run. Retries at another engine
+/// where the request may be repeated; else forwards the error.
 void Requests::State::failed(LiveRequest& request, const AttemptTurned& turned, MonotonicTime now,
                              Outbox& outbox) {
   outbox.count("attempts.failed");
@@ -171,7 +175,8 @@
   outbox.push(AnswerBody{request.asked.request, std::move(turned.bytes)});
 }
 
-/// Where a stream's events stand: behind what the client has, known to it, or where none may be.
+/// Compares the ids of a stream's events with what the client has: the next events, events that it
+/// already has, or ids that are out of order.
 Requests::State::Order Requests::State::order(const LiveRequest& request,
                                               const AttemptTurned& turned) const {
   if (!turned.lastEvent || !parts.options.guards(Guard::kPieceOrder)) return Order::kNext;
@@ -181,8 +186,9 @@
   auto has = request.lastEvent ? request.lastEvent : request.asked.resumeAfter;
   if (!has) return Order::kNext;
   if (last <= *has) return Order::kKnown;
-  if (first <= *has) return Order::kWrong;  // not to be taken apart here
-  // Within one run the engine's ids are believed; where two join, nothing may be left out.
+  if (first <= *has) return Order::kWrong;  // can't be split here
+  // Within one attempt the engine's ids are trusted. Where one attempt continues another, no event
+  // may be skipped.
   bool joins =
       attempt.resumed && (!attempt.lastEvent || *attempt.lastEvent <= *has) && request.lastEvent;
   if (!joins) return Order::kNext;
@@ -205,7 +211,7 @@
 void Requests::State::ended(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
   LiveAttempt& attempt = *request.attempt;
   if (!attempt.head) return garbled(request, now, outbox);
-  // A run that ends before the events that the client has is not the one that it began.
+  // A run that ends before the last event that the client has is not the run that the client saw.
   bool shorter = attempt.resumed && attempt.lastEvent && request.lastEvent &&
                  *attempt.lastEvent < *request.lastEvent;
   if (shorter && parts.options.guards(Guard::kPieceOrder))
@@ -219,7 +225,7 @@
   finish(request);
 }
 
-/// What came can't be the answer's: the attempt is over, whatever it still brings.
+/// The engine sent data that can't belong to the response: ends the attempt and ignores the rest.
 void Requests::State::garbled(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
   outbox.push(CancelAttempt{request.attempt->id});
   broken(request, AttemptEnd::kGarbled, now, outbox);
@@ -235,14 +241,14 @@
   request.mayHaveRun = true;
   if (failure) return cut(request, outbox);
   if (!repeatable(*request.route)) return giveUp(request, {Hurdle::kBroken}, now, outbox);
-  // Within an answer only events' ids tell where another engine has to go on.
+  // Only event ids tell another engine where to continue a partly forwarded response.
   bool joinable =
       request.stream() && !request.lengthPassed && (request.lastEvent || !request.bytesPassed);
   if (request.answering && !joinable) return cut(request, outbox);
   again(request, "attempts.again.broken", {Hurdle::kBroken}, now, outbox);
 }
 
-/// Not a byte left: as if it had never been sent, and the budget gets back what it paid.
+/// No byte was written: the attempt counts as never sent, and its budget charge is returned.
 void Requests::State::notWritten(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
   outbox.count("attempts.not_written");
   const LiveAttempt& attempt = *request.attempt;
@@ -253,8 +259,8 @@
   again(request, "attempts.again.not_written", {Hurdle::kNoEngine}, now, outbox);
 }
 
-/// Another engine if there may be one; else the request ends, with the hurdle that stood in the
-/// way, or with `otherwise` where attempts or budget ran out.
+/// Retries at another engine if possible. Else the request is suspended or fails, for the reason
+/// that prevented the retry, or with `otherwise` where the attempts or the budget are used up.
 void Requests::State::again(LiveRequest& request, std::string_view counter, AttemptFault otherwise,
                             MonotonicTime now, Outbox& outbox) {
   auto planned = plan(request, now, outbox);
--- a/src/requests/requests.cc
+++ b/src/requests/requests.cc
@@ -6,13 +6,15 @@
 
 namespace peppergate {
 namespace {
-/// Attempts that never left cost their engine nothing, but a connection each is tried.
+/// The most attempts that may end without a byte written. They cost their engines nothing, but each
+/// tries to open a connection.
 constexpr int kLargestUnwritten = 6;
-/// For so long after the word to leave, requests are still taken: later ones might not end in time.
+/// How long new requests are accepted after draining has begun; later ones might not finish in
+/// time.
 constexpr Duration kTakenWhileLeaving = seconds(2.8);
-/// How much of the budget further attempts may use that come before the answer's head.
+/// The share of the retry budget available to requests whose response hasn't begun.
 constexpr double kShareBeforeAnswer = 0.8;
-/// Where a route tells no time at all.
+/// The timeout of routes that set none.
 constexpr Duration kNoTimeout = seconds(60);
 
 MonotonicTime deadlineOf(const RequestArrived& asked, const Route& route, MonotonicTime now) {
@@ -61,8 +63,8 @@
   send(place->second, std::move(std::get<AttemptPlan>(planned)), now, outbox);
 }
 
-/// Everything that has to hold for one more attempt, as it is known now: each attempt is checked
-/// against the configuration in force at that moment, not at the request's arrival.
+/// Checks all conditions for one more attempt and chooses its engine. Each attempt is checked
+/// against the current configuration, not the one in force when the request arrived.
 std::variant<AttemptPlan, AttemptFault> Requests::State::plan(LiveRequest& request,
                                                               MonotonicTime now, Outbox& outbox) {
   if (!parts.facts.installed()) return AttemptFault{Hurdle::kNotInstalled};
@@ -83,7 +85,8 @@
     request.route = keepRoute(route);
     request.deadline = deadlineOf(request.asked, *route, now);
   } else {
-    // Once it may have run, both the route that it came on and today's have to allow another run.
+    // Once the request may have run, both its original route and the current one have to allow it
+    // to run again.
     bool mayHaveRun = request.mayHaveRun || request.attempt;
     if (mayHaveRun &&
         (route->kind != request.route->kind || !repeatable(*route) || !repeatable(*request.route)))
@@ -127,23 +130,23 @@
   return plan;
 }
 
-/// The route in force. A stream under way whose route is gone goes on under the one that it came
-/// on: it was sent while that was in force.
+/// The current route. A stream in progress whose route was removed continues under its original
+/// route, as it was admitted while that was in force.
 const Route* Requests::State::routeOf(const LiveRequest& request) const {
   const Route* route = parts.facts.route(request.asked.host, request.asked.path);
   return route == nullptr && request.answering ? request.route.get() : route;
 }
 
-/// Whether one more engine may be asked. Before the answer's head each engine that it was sent to
-/// counts. A stream under way can't be refused any more: of its engines those count that it may
-/// have run on, not those that declined it.
+/// Whether the route allows one more attempt. Before a response head was forwarded, each attempt
+/// that may have reached an engine counts. A response in progress can't be rejected any more, so
+/// only the attempts that may have run count, not those that were declined.
 bool Requests::State::attemptsLeft(const LiveRequest& request, const Route& route) const {
   int over = request.answering ? request.runs : request.sent;
   int used = over + (request.attempt ? 1 : 0);
   return used < std::max(1, std::min(route.attempts, request.route->attempts));
 }
 
-/// A part of the budget is left to streams under way: these can't be refused any more.
+/// Part of the budget is reserved for streams in progress, which can't be rejected any more.
 bool Requests::State::budgetAllows(const LiveRequest& request, const ServiceName& service,
                                    MonotonicTime now) {
   if (!parts.options.guards(Guard::kBudget)) return true;
@@ -203,8 +206,8 @@
   arm(request);
 }
 
-/// The final answer of a request that no attempt is under way for. What may have run is never
-/// told "not run"; what was begun is cut.
+/// Ends a request that has no current attempt. A response in progress is truncated; otherwise the
+/// request is rejected, but never with a status that says "not run" if it may have run.
 void Requests::State::giveUp(LiveRequest& request, AttemptFault fault, MonotonicTime now,
                              Outbox& outbox) {
   if (request.answering) return cut(request, outbox);
@@ -234,12 +237,12 @@
   std::uint64_t id = request.asked.request.value;
   if (request.attempt) attempts.erase(request.attempt->id.value);
   auto found = requests.find(id);
-  if (found == requests.end() || &found->second != &request) return;  // it was never taken in
+  if (found == requests.end() || &found->second != &request) return;  // it was never admitted
   dues.erase({request.due, id});
   requests.erase(found);
 }
 
-/// The request lets go of its attempt; what still comes of that is not for it.
+/// Ends the current attempt; its later events are ignored.
 void Requests::State::release(LiveRequest& request, AttemptEnd how, MonotonicTime now) {
   const LiveAttempt& attempt = *request.attempt;
   parts.ledger.ended(attempt.engine, how, attempt.toRead, attempt.first, now);
@@ -257,7 +260,7 @@
   finish(request);
 }
 
-/// Ends the attempt under way, which the engine drops then.
+/// Cancels the current attempt, so that the engine stops working on it.
 void Requests::State::dropAttempt(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
   if (!request.attempt) return;
   outbox.push(CancelAttempt{request.attempt->id});
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -1,5 +1,6 @@
 #pragma once
-// Clients' requests and their attempts at engines: what was promised, and what may have run.
+// Routes client requests to engines: one attempt at a time, with retries, a retry budget and
+// deadlines, and without running a request twice that must run at most once.
 #include <memory>
 
 #include "core/options.h"
@@ -10,7 +11,7 @@
 
 namespace peppergate {
 
-/// What the requests need of the rest of the front.
+/// The parts of the router that request handling depends on.
 struct RequestParts {
   const Options& options;
   const FleetFacts& facts;
@@ -20,23 +21,26 @@
   Random& random;
 };
 
-/// Example: `requests.ask(arrived, now, outbox)`, then `requests.turn(turned, now, outbox)`.
+/// All client requests of this router, from their arrival to their one final response. Sends each
+/// request to an engine and retries, resumes or rejects it as its attempts go on.
 class Requests {
  public:
   explicit Requests(RequestParts parts);
   ~Requests();
-  /// A client's request: it is sent on, or refused at once. Example: see the class.
+  /// Handles a new client request: sends a first attempt, or rejects the request at once.
   void ask(RequestArrived arrived, MonotonicTime now, Outbox& outbox);
-  /// An attempt went on. Example: its head came.
+  /// Handles progress or failure of an attempt.
   void turn(AttemptTurned turned, MonotonicTime now, Outbox& outbox);
-  /// The client went away: its attempt ends and nothing is sent again.
+  /// Handles a client disconnect: cancels the current attempt and makes no further one.
   void gone(RequestId request, MonotonicTime now, Outbox& outbox);
-  /// The client reads slowly: its own attempt is read no further. Example: on ClientSlow.
+  /// Applies client backpressure: pauses or continues reading from the request's attempt.
   void slow(const ClientSlow& slow, MonotonicTime now, Outbox& outbox);
-  /// The daemon was told to leave: what is under way goes on; new requests are refused after a
-  /// while, and what has no answer shortly before the end of the grace time gets one then.
+  /// Starts draining. Requests in progress go on; new requests are rejected after a short delay,
+  /// and requests that still have no response shortly before the end of the grace time are
+  /// rejected.
   void leave(MonotonicTime now);
-  /// Ends what is over its time; nothing here looks at every request. Example: each tick.
+  /// Handles deadlines and silent engines. Called on each tick; the cost depends only on the
+  /// requests that are due, not on all of them.
   void tick(MonotonicTime now, Outbox& outbox);
   std::size_t live() const;
 
--- a/src/requests/router_node.cc
+++ b/src/requests/router_node.cc
@@ -5,14 +5,16 @@
 namespace peppergate {
 namespace {
 
-// Of the use of engines and links. What goes on unchanged is said every second time, and is
-// forgotten by those who hear it after two seconds (`EngineBook`), so twice the longest has to be
-// less.
+// Paces of usage broadcasts, by the number of routers. Unchanged usage is sent only every second
+// time and expires at its receivers after two seconds (`EngineBook`), so twice the longest interval
+// has to be shorter than that. Usage of links:
 constexpr FleetPace kTell{seconds(0.5), milliseconds(10), seconds(0.95)};
-// Of where requests are: it is worth something for about as long as a prompt waits to be read.
+// Requests of this router per engine, which are useful for about as long as a prompt waits for its
+// prefill:
 constexpr FleetPace kTellUse{seconds(0.2), milliseconds(5), seconds(0.5)};
-constexpr double kToldWithin = 0.9;          // of the time between two
-constexpr Duration kNoticed = seconds(3.2);  // from the word to leave until no client is sent here
+constexpr double kToldWithin = 0.9;  // fraction of the interval within which a round is sent
+constexpr Duration kNoticed =
+    seconds(3.2);  // from the drain request until no more clients are sent here
 
 }  // namespace
 
@@ -102,8 +104,8 @@
   placement_->named(follower_->weights(), follower_->weightsNamedSince(), now);
 }
 
-// Engines can't be brought to new weights while the core is in trouble, so older ones serve longer
-// then.
+// Engines can't be moved to new weights while the control plane is down, so older weights stay
+// usable for longer.
 void RouterNode::noteCoreTrouble(MonotonicTime now) {
   Duration silence =
       leaderSilence_.tick(follower_->primaryOrigin(), follower_->primaryEpoch(), now);
@@ -120,11 +122,11 @@
   if (now >= nextTell_) tellLinks(now);
 }
 
-/// Where this router's requests are: the news that ages fastest.
+/// Broadcasts this router's requests per engine, the data that goes stale fastest.
 void RouterNode::tellUse(MonotonicTime now) {
   Duration interval = kTellUse.between(membership_->frontCount());
   nextTellUse_ = now + interval;
-  // Whoever hears of trouble counts how many routers saw it, by where the word comes from.
+  // Receivers count the routers that report a failure by sender address, so reports aren't relayed.
   std::vector<Message> troubles;
   for (auto& trouble : book_->troubles()) troubles.emplace_back(std::move(trouble));
   toldUse_.begin(membership_->otherFronts(), std::move(troubles), interval * kToldWithin, now);
@@ -149,7 +151,7 @@
   told_.tick(now, outbox_);
 }
 
-/// Tells the routers of this zone what one of another zone told.
+/// Relays a message from a router in another zone to the routers of this zone.
 template <class Note>
 void RouterNode::passOn(Note note, MonotonicTime now) {
   note.relay = false;
@@ -170,7 +172,7 @@
     outbox_.send(from, follower_->relay(*news, now));
   } else if (auto* answer = std::get_if<StateReply>(&message)) {
     follower_->hear(from, *answer, now, outbox_);
-    takeChanges(now);  // each naming by itself, with its own time
+    takeChanges(now);  // applied at once, so that each change of named weights keeps its own time
   } else if (auto* change = std::get_if<ChangeReply>(&message)) {
     operatorHandler_->hear(*change, now, outbox_);
   } else if (auto* roster = std::get_if<DiscoveredEnginesUpdate>(&message)) {
@@ -220,7 +222,7 @@
 }
 
 bool RouterNode::drained(MonotonicTime now) const {
-  // The entry needs some checks to see that this machine leaves; until then requests still come.
+  // The load balancer takes some health checks to notice the draining; requests arrive until then.
   return drainSince_ != kForever && now - drainSince_ > kNoticed;
 }
 
--- a/src/requests/router_node.h
+++ b/src/requests/router_node.h
@@ -1,6 +1,6 @@
 #pragma once
-// A data-plane machine for any number of services: member, follower, watcher of kept parts, and
-// the requests' way from the clients' listener to an engine.
+// A router: a member of the fleet and a follower of the control state that tracks the engines'
+// cached prefix blocks and routes requests from the client listener to engines.
 #include <memory>
 
 #include "core/core_node.h"
@@ -17,7 +17,7 @@
 
 namespace peppergate {
 
-/// Example: `RouterNode router(options, self, seeds, regions, 7);`
+/// One router process, for any number of services.
 class RouterNode final : public Node {
  public:
   RouterNode(const Options& options, MemberRecord self, std::vector<Address> seeds,
@@ -27,12 +27,12 @@
   Outbox& outbox() override { return outbox_; }
   Json status(MonotonicTime now) const override;
   void reload(const Options& options) override;
-  /// Whether no new clients come any more; what is open still ends whole. Example: then the
-  /// listener closes, and the process goes when its last connection ended.
+  /// Whether draining has lasted long enough that no new clients come. The caller then closes the
+  /// listener; open connections still run to their end before the process exits.
   bool drained(MonotonicTime now) const override;
-  /// Whether clients' new connections are welcome. Example: asked by the platform each second.
+  /// Whether new client connections are accepted. Polled by the platform each second.
   bool ready(MonotonicTime now) const;
-  /// For checkers, tests and the shell. Example: `router.follower().setup().fleet.limits`.
+  /// Accessors for checkers, tests and the platform.
   const Follower& follower() const { return *follower_; }
   const EngineBook& book() const { return *book_; }
   const PartIndex& index() const { return index_; }
@@ -72,8 +72,8 @@
   ListVersion bookVersion_;
   MonotonicTime nextTell_{}, nextTellUse_{}, drainSince_ = kForever;
   std::uint64_t relayTurn_ = 0;
-  SpreadBroadcast relayed_{kRelayPortion};  // what routers of other zones told
-  SpreadBroadcast toldUse_, told_;          // what all other routers are told of this one's use
+  SpreadBroadcast relayed_{kRelayPortion};  // messages of routers in other zones
+  SpreadBroadcast toldUse_, told_;          // this router's own use, to all other routers
 };
 
 }  // namespace peppergate
--- a/tests/answer_times_test.cc
+++ b/tests/answer_times_test.cc
@@ -1,4 +1,4 @@
-// Answers in time and late ones, by what made them late.
+// Classification of responses as in time or late, and by the target that a late one missed.
 #include "requests/answer_times.h"
 
 #include "tests/testing.h"
@@ -14,7 +14,7 @@
   return route;
 }
 
-/// The timing of a request that arrives at 1 s and has events at these moments.
+/// The timing of a request that arrives at 1 s and has events at these times, in seconds.
 AnswerTiming timingOf(const Route& route, const std::vector<double>& events) {
   AnswerTimes times;
   times.arrived(at(1));
@@ -32,18 +32,18 @@
   CHECK(timingOf(route, {2.01}) == AnswerTiming::kLateFirst);
 }
 
-TEST(AnswerTimings, ALongPauseIsLateAndALateFirstEventCountsBefore) {
+TEST(AnswerTimings, ALongPauseIsLateButALateFirstEventTakesPrecedence) {
   Route route = routeWith(seconds(1), seconds(0.5));
   CHECK(timingOf(route, {1.5, 2, 2.5}) == AnswerTiming::kInTime);
   CHECK(timingOf(route, {1.5, 2.1, 2.2}) == AnswerTiming::kLatePause);
   CHECK(timingOf(route, {2.5, 3.5}) == AnswerTiming::kLateFirst);
 }
 
-TEST(AnswerTimings, RoutesWithoutTargetsHaveNoLateAnswers) {
+TEST(AnswerTimings, RoutesWithoutTargetsHaveNoLateResponses) {
   CHECK(timingOf(routeWith({}, {}), {9, 20}) == AnswerTiming::kInTime);
 }
 
-TEST(AnswerTimings, CountersNameUrgencyAndReason) {
+TEST(AnswerTimings, CounterNamesContainUrgencyAndReason) {
   STRCMP_EQUAL("answers.2.late_pause", answerCounter(AnswerTiming::kLatePause, 2).c_str());
   STRCMP_EQUAL("answers.0.in_time", answerCounter(AnswerTiming::kInTime, 0).c_str());
 }
--- a/tests/requests_ask_test.cc
+++ b/tests/requests_ask_test.cc
@@ -1,4 +1,5 @@
-// What a request meets before its first attempt: refusals at once, shares, what is sent.
+// Handling of a request before its first attempt: immediate rejections, the weighted choice of a
+// service, urgency, and the contents of the attempt.
 #include "requests/request_rules.h"
 #include "tests/requests_fakes.h"
 
@@ -38,7 +39,7 @@
 
 TEST_GROUP(RequestAsks){};
 
-TEST(RequestAsks, RefusalsAreTypedAndAtOnce) {
+TEST(RequestAsks, RejectionsAreTypedAndImmediate) {
   for (const auto& row : kRefusals)
     for (auto host : kHosts) {
       FakeFront front;
@@ -55,7 +56,7 @@
     }
 }
 
-TEST(RequestAsks, TimesToComeBack) {
+TEST(RequestAsks, RetryAfterIsTheForecastOrRandomAndBounded) {
   FakeFront front;
   front.facts.proofEnd = front.now;
   std::set<std::int64_t> seen;
@@ -108,7 +109,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).timeLeft == seconds(4));
 }
 
-TEST(RequestAsks, OpenRoutesNeedNoKeyAndNameNoTenant) {
+TEST(RequestAsks, OpenRoutesNeedNoKeyAndHaveNoTenant) {
   FakeFront front;
   front.facts.byHost["safe"].open = true;
   CHECK(only<OpenAttempt>(front.ask("safe", 1)).tenant.value.empty());
@@ -118,7 +119,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).tenant.value.empty());
 }
 
-TEST(RequestAsks, SharesComeOutAndEachClientIdKeepsItsService) {
+TEST(RequestAsks, ServicesAreChosenByWeightAndEachClientIdKeepsItsService) {
   Route route = routeOf(RouteKind::kSafe);
   route.services = {{ServiceName{"a"}, 90}, {ServiceName{"none"}, 0}, {ServiceName{"b"}, 10}};
   int toB = 0;
@@ -134,7 +135,7 @@
   CHECK(chooseService(route, "id") == nullptr);
 }
 
-TEST(RequestAsks, UrgencyIsTheTenantsFirstThenTheRoutes) {
+TEST(RequestAsks, UrgencyRanksByTenantFirstAndRouteSecond) {
   FleetConfig config;
   for (int urgency : {0, 2, 7}) {
     std::string name = "t" + std::to_string(urgency);
@@ -158,7 +159,7 @@
   CHECK_EQUAL(9, table.of(7, 9));
 }
 
-TEST(RequestAsks, UrgencyFollowsTheConfigurationInForce) {
+TEST(RequestAsks, UrgencyFollowsTheCurrentConfiguration) {
   FakeFront front;
   CHECK_EQUAL(0, only<OpenAttempt>(front.ask("safe", 1)).urgency);
   front.facts.fleet.tenants[{"gold"}] = TenantConfig{{"gold"}, 0, false};
@@ -166,7 +167,7 @@
   CHECK_EQUAL(1, only<OpenAttempt>(front.ask("safe", 2)).urgency);
 }
 
-TEST(RequestAsks, AnIdUnderWayIsNotTakenTwice) {
+TEST(RequestAsks, ARequestIdInProgressIsNotAcceptedTwice) {
   FakeFront front;
   CHECK_EQUAL(1U, front.ask("unsafe", 1).size());
   CHECK_EQUAL(0U, front.ask("unsafe", 1).size());
--- a/tests/requests_budget_test.cc
+++ b/tests/requests_budget_test.cc
@@ -1,4 +1,4 @@
-// Attempts beyond the first, within any window and over all fronts.
+// The retry budget bounds retries within any window, summed over all routers.
 #include "requests/attempt_budget.h"
 #include "tests/requests_fakes.h"
 
@@ -8,27 +8,28 @@
 
 constexpr BudgetTerms kTerms{0.2, seconds(10), 0};
 
-/// How many of the times lie in the window that ends there. Times are in order.
+/// The number of times within the window that ends at `end`. Times are sorted.
 std::size_t within(const std::vector<MonotonicTime>& times, MonotonicTime end) {
   auto after = [&](MonotonicTime time) { return std::ranges::upper_bound(times, time); };
   return static_cast<std::size_t>(after(end) - after(end - kTerms.window));
 }
 
-/// The most requests of a window, of the one half before it and of the one before it.
+/// The most requests of a window, of the window half its length before it, and of the window
+/// before.
 std::size_t mostWithin(const std::vector<MonotonicTime>& firsts, MonotonicTime end) {
   return std::max({within(firsts, end), within(firsts, end - kTerms.window * 0.5),
                    within(firsts, end - kTerms.window)});
 }
 
-/// Several routers with their own traffic, none of which knows of another.
+/// Several routers with traffic of their own that don't know of each other.
 struct BudgetFleet {
   std::vector<AttemptBudget> routers;
-  std::vector<MonotonicTime> firsts, arrivals;  // of the fleet; arrivals of further attempts
+  std::vector<MonotonicTime> firsts, arrivals;  // of the whole fleet; arrivals of retries
   Random random;
 
   BudgetFleet(std::size_t size, std::uint64_t seed) : routers(size), random(seed) {}
 
-  /// Each router is busy, idle or in trouble in spells of its own.
+  /// Simulates traffic: each router has busy, idle and failing periods of its own.
   void play(Duration length) {
     for (MonotonicTime now = at(50); now - at(50) < length; now = now + milliseconds(20))
       for (std::size_t index = 0; index < routers.size(); ++index) {
@@ -47,10 +48,10 @@
   void further(std::size_t index, MonotonicTime now) {
     if (!routers[index].allows(kTerms, now)) return;
     routers[index].take(now);
-    // It reaches its engine when its connection is up.
+    // It reaches its engine once its connection is established.
     arrivals.push_back(now + Duration{static_cast<std::int64_t>(random.below(500'000))});
   }
-  /// By how much the worst window is above its share.
+  /// By how much the window with the most retries exceeds its limit.
   double worst() const {
     double worst = -1e9;
     for (MonotonicTime end : arrivals)
@@ -64,7 +65,7 @@
 
 TEST_GROUP(RequestBudget){};
 
-TEST(RequestBudget, TheFleetKeepsItsShareInEveryWindowWithoutSlack) {
+TEST(RequestBudget, FleetStaysWithinShareInEveryWindowWithoutSlack) {
   for (std::size_t size : {1U, 2U, 3U, 9U})
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       BudgetFleet fleet(size, seed);
@@ -74,8 +75,8 @@
     }
 }
 
-TEST(RequestBudget, ABurstThatPaysForOneBehindItsWindowIsBoundedToo) {
-  // First attempts just before a window, further ones in it, and nothing after: the worst case.
+TEST(RequestBudget, RetriesAfterABurstOfFirstAttemptsAreBounded) {
+  // The worst case: first attempts just before a window, retries within it, and nothing afterwards.
   for (int offset = 0; offset <= 200; ++offset) {
     AttemptBudget budget;
     std::vector<MonotonicTime> firsts, furthers;
@@ -97,7 +98,7 @@
   }
 }
 
-TEST(RequestBudget, SteadyTrafficGetsItsWholeShare) {
+TEST(RequestBudget, SteadyTrafficGetsItsFullShare) {
   AttemptBudget budget;
   std::size_t furthers = 0;
   for (int step = 0; step < 4000; ++step) {
@@ -110,7 +111,7 @@
   CHECK(furthers >= 2000 * kTerms.share * 0.85);
 }
 
-TEST(RequestBudget, StartsFromNothingAndForgets) {
+TEST(RequestBudget, StartsEmptyAndExpiresOldAttempts) {
   AttemptBudget budget;
   CHECK(!budget.allows(kTerms, at(1)));
   for (int number = 0; number < 10; ++number) budget.first(kTerms, at(1));
@@ -120,11 +121,11 @@
   budget.giveBack(at(1));
   CHECK(budget.allows(kTerms, at(2)));
   CHECK(!budget.allows(kTerms, at(21)));
-  budget.giveBack(at(1));  // forgotten since; nothing is given twice
+  budget.giveBack(at(1));  // expired since; a retry is not refunded twice
   CHECK(!budget.allows(kTerms, at(21)));
 }
 
-TEST(RequestBudget, SlackIsSharedByAllFronts) {
+TEST(RequestBudget, SlackIsSharedByAllRouters) {
   CHECK_EQUAL(1, slackPart(20, 9));
   CHECK_EQUAL(0, slackPart(20, 11));
   CHECK_EQUAL(10, slackPart(20, 0));
@@ -134,7 +135,7 @@
   CHECK(!budget.allows({0.2, seconds(10), 1}, at(1)));
 }
 
-TEST(RequestBudget, FrontsAreForgottenOnlyAfterAMinute) {
+TEST(RequestBudget, LargestRouterCountIsKeptForAtLeastAMinute) {
   FrontCount fronts;
   CHECK_EQUAL(1U, fronts.most());
   fronts.see(9, at(1));
@@ -144,22 +145,22 @@
   CHECK_EQUAL(2U, fronts.most());
 }
 
-TEST(RequestBudget, OnlyWhatFollowsAnArrivalIsPaidFor) {
+TEST(RequestBudget, OnlyRetriesThatMayHaveReachedAnEngineAreCharged) {
   FakeFront front;
   front.options.budgetShare = 1.25;
-  // Two first attempts pay for one further one; a fifth is left to streams under way.
+  // Two first attempts allow one retry; a fifth of the budget is reserved for streams in progress.
   AttemptId first = only<OpenAttempt>(front.ask("unsafe", 1)).attempt;
   AttemptId other = only<OpenAttempt>(front.ask("unsafe", 2)).attempt;
-  first = only<OpenAttempt>(front.turn(first, AttemptTurn::kNotWritten)).attempt;  // free
-  first = only<OpenAttempt>(front.head(first, 503, true)).attempt;                 // paid
+  first = only<OpenAttempt>(front.turn(first, AttemptTurn::kNotWritten)).attempt;  // not charged
+  first = only<OpenAttempt>(front.head(first, 503, true)).attempt;                 // charged
   CHECK_EQUAL(503, only<RefuseRequest>(front.head(other, 503, true)).status);
   CHECK_EQUAL(1U, front.counter("attempts.over_budget"));
-  // It never left: what was paid is there for another.
+  // No byte was written: the charge is returned and allows another retry.
   first = only<OpenAttempt>(front.turn(first, AttemptTurn::kNotWritten)).attempt;
   CHECK_EQUAL(503, only<RefuseRequest>(front.head(first, 503, true)).status);
 }
 
-TEST(RequestBudget, EachServiceHasItsOwn) {
+TEST(RequestBudget, EachServiceHasItsOwnBudget) {
   FakeFront front;
   front.options.budgetShare = 2.5;
   front.facts.byHost["safe"].services = {{ServiceName{"other"}, 1}};
--- a/tests/requests_fakes.h
+++ b/tests/requests_fakes.h
@@ -1,5 +1,6 @@
 #pragma once
-// Fakes round the requests' machine: a fleet of named engines, routes by host, a book of calls.
+// Test doubles for request handling: a fleet of numbered engines, one route per host, and recorded
+// calls.
 #include <algorithm>
 #include <set>
 
@@ -13,7 +14,7 @@
 struct FakeFacts final : FleetFacts {
   FleetConfig fleet;
   Weights named;
-  std::map<std::string, Route> byHost;  // one route a host will do
+  std::map<std::string, Route> byHost;  // one route per host suffices
   std::map<std::string, TenantConfig, std::less<>> byKey;
   MonotonicTime proofEnd = kForever;
   bool isInstalled = true;
@@ -37,7 +38,7 @@
   std::size_t liveFronts() const override { return fronts; }
 };
 
-/// Gives the first engine that was not tried; `engines` of them, or none.
+/// Places on the first of `engines` engines that was not tried; refuses if there is none.
 struct FakePlacer final : Placer {
   int engines = 5;
   PlaceRefusal refusal{PlaceFault::kNoEngine, {}};
@@ -69,7 +70,7 @@
     bool hadFirst;
   };
   std::vector<Ended> ends;
-  int under = 0;  // sent and not ended
+  int under = 0;  // attempts sent and not ended
   int firsts = 0;
   std::vector<std::int64_t> running;
   std::map<ModelName, WeightsVersion> versions;
@@ -111,10 +112,10 @@
   return route;
 }
 
-/// The four kinds of requests, by host.
+/// One host for each kind of request.
 inline constexpr std::array<std::string_view, 4> kHosts{"safe", "unsafe", "plain", "resumed"};
 
-/// A front's requests with fakes round them. Example: `front.ask("safe", 1); front.head(200);`
+/// Request handling of one router, with test doubles for all that it depends on.
 struct FakeFront {
   Options options;
   FakeFacts facts;
@@ -135,7 +136,7 @@
     facts.fleet.tenants[{"red"}] = TenantConfig{{"red"}, 1, false};
     for (const auto& [host, route] : facts.byHost) facts.fleet.routes.push_back(route);
     facts.byKey["key"] = facts.fleet.tenants[{"red"}];
-    options.budgetShare = 10;  // enough for any test that is not about it
+    options.budgetShare = 10;  // large enough for all tests that don't test the budget
   }
   static RequestArrived arrived(std::string_view host, std::uint64_t id) {
     RequestArrived asked;
@@ -207,7 +208,7 @@
 template <class T>
 T only(const std::vector<Command>& commands) {
   auto found = taken<T>(commands);
-  CHECK_EQUAL_TEXT(1U, found.size(), "commands of one kind");
+  CHECK_EQUAL_TEXT(1U, found.size(), "number of commands of this type");
   return found.empty() ? T{} : found.front();
 }
 
--- a/tests/requests_order_test.cc
+++ b/tests/requests_order_test.cc
@@ -1,5 +1,5 @@
-// Every order of turns up to a depth, for each kind of request: what may run twice, what is
-// promised, and what a client gets.
+// Enumerates every order of attempt events up to a depth, for each kind of request, and checks that
+// no request runs twice that must not, that rejections are truthful, and what the client receives.
 #include "tests/requests_fakes.h"
 
 using namespace peppergate;
@@ -42,7 +42,7 @@
   std::optional<Guard> guardOff = std::nullopt;
 };
 
-/// What the engine behind an attempt did, as its turns tell.
+/// What the engine of an attempt did, according to the attempt's events.
 struct Truth {
   AttemptId id;
   bool stream = false;
@@ -55,7 +55,7 @@
   bool possible() const { return !notRun && !unsent; }
 };
 
-/// Drives one request by steps and checks every command against what the engines did.
+/// Drives one request step by step and checks every command against what the engines did.
 class Walk {
  public:
   explicit Walk(const Setting& setting)
@@ -72,16 +72,16 @@
   bool over() const { return answers_ > 0 || gone_; }
   bool good() const { return fault_.empty(); }
   const std::string& fault() const { return fault_; }
-  /// Whether the step can come at all here. Example: no body without a head.
+  /// Whether the step can happen now; a body, for example, can't arrive before its head.
   bool possible(Step step) const;
   void take(Step step);
-  /// Time runs out: there must be one answer, and nothing left.
+  /// Lets the deadline pass: there must be exactly one response, and no state left.
   void close() {
     check(front_.pass(seconds(30)));
-    if (!gone_ && answers_ != 1) fail("no single answer");
-    if (gone_ && answers_ != 0) fail("answered who was gone");
-    if (front_.requests.live() != 0) fail("still live");
-    if (front_.ledger.under != 0) fail("the book does not balance");
+    if (!gone_ && answers_ != 1) fail("not exactly one response");
+    if (gone_ && answers_ != 0) fail("responded to a client that disconnected");
+    if (front_.requests.live() != 0) fail("request still active");
+    if (front_.ledger.under != 0) fail("attempts left open in the traffic records");
   }
 
  private:
@@ -94,17 +94,17 @@
     for (const auto& command : commands) std::visit([this](const auto& one) { see(one); }, command);
   }
   void see(const OpenAttempt& open) {
-    if (over()) fail("sent after the end");
+    if (over()) fail("attempt sent after the final response");
     for (const auto& attempt : attempts_) {
-      if (!attempt.over && !attempt.cancelled && !attempt.headed) fail("two at once");
+      if (!attempt.over && !attempt.cancelled && !attempt.headed) fail("two attempts at once");
       if (!repeatable_ && attempt.possible()) fail("may run twice");
     }
-    if (revoked_ || stale_) fail("sent without key or proof");
+    if (revoked_ || stale_) fail("attempt sent without a valid key or proof of freshness");
     Truth truth;
     truth.id = open.attempt;
     truth.resumeAfter = open.resumeAfter;
     truth.next = open.resumeAfter.value_or(0) + 1;
-    if (truth.next != next_) fail("resumes at the wrong place");
+    if (truth.next != next_) fail("resumes after the wrong event");
     attempts_.push_back(truth);
   }
   void see(const CancelAttempt& cancel) {
@@ -114,10 +114,10 @@
   void see(const AnswerHead& head) {
     if (over() || heads_++ > 0) fail("a second head");
     status_ = head.head->status;
-    if (status_ == 200 && !last().success) fail("a success that is none");
-    if (status_ != last().status) fail("another's head");
+    if (status_ == 200 && !last().success) fail("an unmarked success was forwarded");
+    if (status_ != last().status) fail("head of another attempt");
     if (!repeatable_ && (status_ == 503 || status_ == 408 || status_ == 429 || status_ == 421))
-      fail("passed a promise that may be broken");
+      fail("forwarded a status that says not run");
   }
   void see(const AnswerBody& body) {
     if (over() || heads_ == 0) fail("a body without a head");
@@ -127,33 +127,33 @@
       from_ = last().id;
       return;
     }
-    // Events are written as their ids, each behind a blank.
+    // Each event is written as a space and its id.
     std::size_t at = 0;
     while (at < body.bytes.size()) {
       std::size_t end = 0;
       auto id = std::stoull(body.bytes.substr(at), &end);
       at += end;
-      if (id != next_++) fail("an event lost, doubled or out of order");
+      if (id != next_++) fail("an event lost, repeated or out of order");
     }
   }
   void see(const AnswerDone& done) {
-    if (over()) fail("a second answer");
+    if (over()) fail("a second response");
     ++answers_;
     if (heads_ == 0) fail("an end without a head");
-    if (done.whole && !ended_) fail("whole without its end");
+    if (done.whole && !ended_) fail("complete without the end of a run");
   }
   void see(const RefuseRequest& refuse) {
-    if (over() || heads_ > 0) fail("refused after another answer");
+    if (over() || heads_ > 0) fail("rejected after another response");
     ++answers_;
     bool ran = std::ranges::any_of(attempts_, &Truth::mayHaveRun);
     if (refuse.status != 502 && refuse.status != 504) {
-      if (ran) fail("promised, but it may have run");
+      if (ran) fail("rejected as not run, but it may have run");
       if (std::ranges::any_of(attempts_, [](const Truth& one) { return one.possible(); }))
-        fail("promised, but one is under way");
+        fail("rejected as not run, but an attempt may still run");
     }
     if (refuse.status == 503 && (!refuse.retryAfter || refuse.retryAfter->microseconds <= 0 ||
                                  *refuse.retryAfter > seconds(3)))
-      fail("no good time to come back");
+      fail("Retry-After missing or out of range");
   }
   template <class T>
   void see(const T&) {}
@@ -175,7 +175,7 @@
 
   FakeFront front_;
   bool stream_, repeatable_;
-  std::uint64_t start_, next_;  // the events that the client needed first, and needs next
+  std::uint64_t start_, next_;  // ids of the first and the next event that the client needs
   std::vector<Truth> attempts_;
   std::optional<AttemptId> from_;
   int answers_ = 0, heads_ = 0, status_ = 0;
@@ -190,7 +190,7 @@
     case Step::kWritten:
       return !one.written;
     case Step::kNotWritten:
-      return !one.headed;  // also, wrongly, after a write
+      return !one.headed;  // an invalid event after a write is included
     case Step::kGoodHead:
     case Step::kNotRunHead:
     case Step::kOtherEngineHead:
@@ -211,7 +211,7 @@
       return one.headed && stream_ && next_ > 1;
     case Step::kMixedEvents:
       return one.headed && stream_ && next_ > 1 && one.next == next_;
-    case Step::kGapEvent:  // where two runs join; within one run the engine's ids are believed
+    case Step::kGapEvent:  // only where two runs join; within one run the engine's ids are trusted
       return one.headed && stream_ && next_ > start_ && one.resumeAfter &&
              one.next == *one.resumeAfter + 1;
     case Step::kEnded:
@@ -278,7 +278,7 @@
       ended_ = false;
       return;
     case Step::kBroken:
-      last().written = last().over = true;  // it can't be told that it never left
+      last().written = last().over = true;  // it can't be known to be unsent
       return turn(AttemptTurn::kBroken);
     case Step::kNotWritten:
       last().over = true;
@@ -309,7 +309,7 @@
   }
 }
 
-/// Walks all orders of steps; each is played anew from its beginning.
+/// Enumerates all orders of steps; each is replayed from its beginning.
 struct Enumeration {
   Setting setting;
   std::vector<Step> path;
@@ -346,7 +346,7 @@
   CHECK(enumeration.walks > 1000);
 }
 
-/// What the walk finds once a guard is off: this shows that it can find something.
+/// The fault that the enumeration finds with one guard off, to show that it detects faults.
 std::string faultWithout(Guard guard, std::string_view host, std::vector<Step> begin = {}) {
   Enumeration enumeration{{host, true, std::nullopt, guard}, std::move(begin), 0, {}};
   enumeration.explore(3);
@@ -361,28 +361,31 @@
 
 TEST_GROUP(RequestOrders){};
 
-TEST(RequestOrders, UnsafeRunsAtMostOnceAndIsToldTheTruth) { walkAll({"unsafe", true, {}}, 5); }
-TEST(RequestOrders, PlainStreamsRunAtMostOnceAndKeepTheirOrder) { walkAll({"plain", true, {}}, 5); }
-TEST(RequestOrders, SafeRequestsGetOneAnswer) { walkAll({"safe", true, {}}, 5); }
-TEST(RequestOrders, ResumedStreamsLoseAndRepeatNothing) { walkAll({"resumed", true, {}}, 5); }
-TEST(RequestOrders, ClientsThatResumeGetWhatIsBehindTheirEvent) {
+TEST(RequestOrders, UnsafeRequestsRunAtMostOnceAndRejectionsAreTruthful) {
+  walkAll({"unsafe", true, {}}, 5);
+}
+TEST(RequestOrders, PlainStreamsRunAtMostOnceAndKeepEventOrder) { walkAll({"plain", true, {}}, 5); }
+TEST(RequestOrders, SafeRequestsGetExactlyOneResponse) { walkAll({"safe", true, {}}, 5); }
+TEST(RequestOrders, ResumedStreamsLoseAndRepeatNoEvent) { walkAll({"resumed", true, {}}, 5); }
+TEST(RequestOrders, ResumingClientsGetTheEventsAfterTheirLast) {
   walkAll({"resumed", true, 12}, 5);
 }
-TEST(RequestOrders, BrokenStreamsGoOnAtAnotherEngine) {
+TEST(RequestOrders, BrokenStreamsContinueAtAnotherEngine) {
   walkAll({"resumed", true, {}}, 5,
           {Step::kWritten, Step::kGoodHead, Step::kTwoEvents, Step::kBroken});
 }
-TEST(RequestOrders, DeclinedUnsafeRequestsStayAtMostOnce) {
+TEST(RequestOrders, DeclinedUnsafeRequestsRunAtMostOnce) {
   walkAll({"unsafe", true, {}}, 5, {Step::kWritten, Step::kNotRunHead, Step::kNotWritten});
 }
-TEST(RequestOrders, WithoutABudgetToo) {
+TEST(RequestOrders, AllHoldWithoutARetryBudget) {
   for (auto host : kHosts) walkAll({host, false, {}}, 4);
 }
-TEST(RequestOrders, TheWalkSeesALostGuard) {
+TEST(RequestOrders, EnumerationDetectsDisabledGuards) {
   CHECK(tells(faultWithout(Guard::kNoRepeat, "unsafe"), "may run twice"));
   CHECK(tells(faultWithout(Guard::kNoRepeat, "plain"), "may run twice"));
-  CHECK(tells(faultWithout(Guard::kHonestRejection, "resumed"), "promised, but it may have run"));
+  CHECK(tells(faultWithout(Guard::kHonestRejection, "resumed"),
+              "rejected as not run, but it may have run"));
   CHECK(tells(faultWithout(Guard::kPieceOrder, "resumed",
                            {Step::kWritten, Step::kGoodHead, Step::kNextEvent, Step::kBroken}),
-              "an event lost, doubled or out of order"));
+              "an event lost, repeated or out of order"));
 }
--- a/tests/requests_resume_test.cc
+++ b/tests/requests_resume_test.cc
@@ -1,13 +1,15 @@
-// What ends a stream under way and what doesn't: the table of docs/design-requests.md, row by row.
+// What ends a stream in progress and what doesn't: the table in docs/design-requests.md, row by
+// row.
 #include "tests/requests_fakes.h"
 
 using namespace peppergate;
 
 namespace {
 
-constexpr Duration kLookAgain = milliseconds(260);  // the longest pause of a suspended stream
+constexpr Duration kLookAgain =
+    milliseconds(260);  // just above the longest wait of a suspended stream
 
-/// A stream that may be resumed, with its first events passed on.
+/// Starts a resumable stream and forwards its first events.
 AttemptId streaming(FakeFront& front, std::uint64_t events = 3) {
   AttemptId id = only<OpenAttempt>(front.ask("resumed")).attempt;
   front.turn(id, AttemptTurn::kWritten);
@@ -16,7 +18,7 @@
   return id;
 }
 
-/// The stream's engine ended its connection, and there is no way on for now.
+/// Starts a stream and suspends it: its engine closes the connection while no other is available.
 void suspend(FakeFront& front) {
   AttemptId id = streaming(front);
   front.placer.engines = 0;
@@ -29,7 +31,7 @@
   return ends.size() == 1 && !ends.front().whole;
 }
 
-/// The rest of a stream that goes on behind its third event.
+/// Completes a stream that continues after its third event.
 void endsWhole(FakeFront& front, const OpenAttempt& open) {
   CHECK_EQUAL(3U, open.resumeAfter.value_or(0));
   front.turn(open.attempt, AttemptTurn::kWritten);
@@ -42,7 +44,7 @@
 
 TEST_GROUP(RequestResumes){};
 
-TEST(RequestResumes, AStreamWhoseSecondEngineDeclinesGoesOnToAThird) {
+TEST(RequestResumes, AStreamDeclinedByItsSecondEngineTriesAThird) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -51,7 +53,7 @@
   endsWhole(front, open);
 }
 
-TEST(RequestResumes, BeforeTheHeadADeclineCountsAsAnEngineAsked) {
+TEST(RequestResumes, BeforeTheHeadADeclineCountsAsAnAttempt) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.ask("resumed")).attempt;
@@ -59,7 +61,7 @@
   CHECK_EQUAL(503, only<RefuseRequest>(front.head(id, 503, true)).status);
 }
 
-TEST(RequestResumes, RunsThatBrokeUseUpTheRoutesAttempts) {
+TEST(RequestResumes, BrokenRunsUseUpTheRoutesAttempts) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -75,12 +77,12 @@
     suspend(front);
     front.placer.engines = 0;
     for (int look = 0; look < 4; ++look) CHECK_EQUAL(0U, front.pass(kLookAgain).size());
-    front.placer.engines = 1;  // the engine that it began at will do
+    front.placer.engines = 1;  // the engine that it started on may be used again
     endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
   }
 }
 
-TEST(RequestResumes, ASuspendedStreamIsCutAtItsDeadline) {
+TEST(RequestResumes, ASuspendedStreamIsTruncatedAtItsDeadline) {
   FakeFront front;
   suspend(front);
   front.placer.engines = 0;
@@ -89,7 +91,7 @@
   CHECK_EQUAL(0U, front.requests.live());
 }
 
-TEST(RequestResumes, WithTooLittleTimeForAnEngineItIsCutAtItsDeadlineToo) {
+TEST(RequestResumes, WithTooLittleTimeForAnAttemptItIsTruncatedAtItsDeadline) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.pass(seconds(0.9));
@@ -102,16 +104,16 @@
   CHECK(cutIn(front.pass(seconds(0.02))));
 }
 
-TEST(RequestResumes, OverItsBudgetAStreamWaitsForIt) {
+TEST(RequestResumes, AStreamOverTheRetryBudgetWaitsForBudget) {
   FakeFront front;
-  front.options.budgetShare = 0.5;  // four first attempts pay for one further one
+  front.options.budgetShare = 0.5;  // four first attempts allow one retry
   CHECK_EQUAL(0U, front.turn(streaming(front), AttemptTurn::kBroken).size());
   CHECK_EQUAL(0U, front.pass(kLookAgain).size());
   for (std::uint64_t other = 2; other <= 4; ++other) front.ask("plain", other);
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, ABudgetsLastPartIsLeftToStreamsUnderWay) {
+TEST(RequestResumes, PartOfTheBudgetIsReservedForStreamsInProgress) {
   FakeFront front;
   front.options.budgetShare = 0.5;
   AttemptId stream = streaming(front);
@@ -123,7 +125,7 @@
   CHECK_EQUAL(1U, taken<OpenAttempt>(front.turn(stream, AttemptTurn::kBroken)).size());
 }
 
-TEST(RequestResumes, WithoutAProofOfFreshnessItWaitsForOne) {
+TEST(RequestResumes, WithoutAProofOfFreshnessAStreamWaitsForOne) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.proofEnd = front.now;
@@ -133,7 +135,7 @@
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, AFailureOfTheNextEngineSuspendsIt) {
+TEST(RequestResumes, AFailureOfTheNextEngineSuspendsAStream) {
   for (int status : {404, 500, 503}) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -144,7 +146,7 @@
   }
 }
 
-TEST(RequestResumes, EnginesThatCantBeReachedSuspendIt) {
+TEST(RequestResumes, UnreachableEnginesSuspendAStream) {
   FakeFront front;
   front.placer.engines = 20;
   auto commands = front.turn(streaming(front), AttemptTurn::kBroken);
@@ -154,7 +156,7 @@
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, WhereAllEnginesDeclineItAsksThemAtAPace) {
+TEST(RequestResumes, AStreamDeclinedByAllEnginesRetriesAtALimitedRate) {
   FakeFront front;
   front.options.budgetShare = 1000;
   auto commands = front.turn(streaming(front), AttemptTurn::kBroken);
@@ -173,7 +175,7 @@
   CHECK(asked <= 25);
 }
 
-TEST(RequestResumes, ARouteThatIsRemovedLetsItGoOn) {
+TEST(RequestResumes, AStreamContinuesAfterItsRouteIsRemoved) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost.erase("resumed");
@@ -183,7 +185,7 @@
   endsWhole(front, open);
 }
 
-TEST(RequestResumes, ARemovedServiceLeavesItSuspendedUntilItsDeadline) {
+TEST(RequestResumes, AStreamWhoseServiceIsRemovedIsSuspendedUntilItsDeadline) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost.erase("resumed");
@@ -193,7 +195,7 @@
   CHECK(cutIn(front.pass(seconds(9))));
 }
 
-TEST(RequestResumes, AWithdrawnKeyCutsItAtOnceWhenItNeedsAnEngine) {
+TEST(RequestResumes, AWithdrawnKeyTruncatesAStreamThatNeedsAnAttempt) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byKey.clear();
@@ -209,7 +211,7 @@
   CHECK_EQUAL(0U, taken<OpenAttempt>(commands).size());
 }
 
-TEST(RequestResumes, AKeyThatMovedToAnotherTenantCutsIt) {
+TEST(RequestResumes, AKeyMovedToAnotherTenantTruncatesTheStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byKey["key"].name = {"blue"};
@@ -217,7 +219,7 @@
   CHECK(cutIn(front.turn(id, AttemptTurn::kBroken)));
 }
 
-TEST(RequestResumes, ARouteThatMayNotBeRepeatedAnyMoreCutsIt) {
+TEST(RequestResumes, ARouteThatIsNoLongerResumableTruncatesTheStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost["resumed"].resumable = false;
@@ -225,7 +227,7 @@
   CHECK(cutIn(front.turn(id, AttemptTurn::kBroken)));
 }
 
-TEST(RequestResumes, OtherChangesOfConfigurationLeaveItAlone) {
+TEST(RequestResumes, OtherConfigurationChangesDontAffectAStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.fleet.version = {2};
@@ -236,7 +238,7 @@
   CHECK(only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestResumes, SilenceEndsNothingWhereThereIsNoOtherEngine) {
+TEST(RequestResumes, SilenceEndsNothingWhileNoOtherEngineIsAvailable) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.placer.engines = 0;
@@ -245,7 +247,7 @@
   CHECK(only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestResumes, WhatCantBeJoinedIsCutAtOnce) {
+TEST(RequestResumes, AResponseThatCantBeContinuedIsTruncatedAtOnce) {
   for (auto host : {"plain", "safe", "unsafe"}) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.ask(host)).attempt;
@@ -256,7 +258,7 @@
   }
 }
 
-TEST(RequestResumes, BeforeTheHeadNothingIsHeld) {
+TEST(RequestResumes, BeforeTheHeadNothingIsSuspended) {
   for (auto host : kHosts) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.ask(host)).attempt;
@@ -272,7 +274,7 @@
   }
 }
 
-TEST(RequestResumes, AClientThatLeftASuspendedStreamIsForgotten) {
+TEST(RequestResumes, ADisconnectDuringSuspensionRemovesTheRequest) {
   FakeFront front;
   suspend(front);
   front.requests.gone({1}, front.now, front.outbox);
@@ -281,7 +283,7 @@
   CHECK_EQUAL(0U, front.pass(seconds(10)).size());
 }
 
-TEST(RequestResumes, ASlowReaderIsStillResumed) {
+TEST(RequestResumes, AStreamOfASlowClientIsResumed) {
   FakeFront front;
   suspend(front);
   front.requests.slow({{1}, true}, front.now, front.outbox);
@@ -291,7 +293,7 @@
   CHECK_EQUAL(1U, taken<OpenAttempt>(commands).size());
 }
 
-TEST(RequestResumes, ALeavingRouterGoesOnWithItsStreams) {
+TEST(RequestResumes, ADrainingRouterContinuesItsStreams) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.requests.leave(front.now);
@@ -305,13 +307,13 @@
   CHECK_EQUAL(4U, *open.resumeAfter);
 }
 
-TEST(RequestResumes, ALeavingRouterRefusesWhatComesLate) {
+TEST(RequestResumes, ADrainingRouterRejectsLateRequests) {
   FakeFront front;
   front.requests.leave(front.now);
   front.pass(seconds(2.7));
   CHECK_EQUAL(1U, taken<OpenAttempt>(front.ask("safe", 1)).size());
   front.pass(seconds(0.2));
-  front.requests.leave(front.now);  // a second word to leave changes nothing
+  front.requests.leave(front.now);  // a repeated call has no effect
   for (std::uint64_t id = 2; id <= 5; ++id) {
     auto refuse = only<RefuseRequest>(front.ask(kHosts[id - 2], id));
     CHECK_EQUAL(503, refuse.status);
@@ -319,7 +321,7 @@
   }
 }
 
-TEST(RequestResumes, ALeavingRouterAnswersBeforeItsEnd) {
+TEST(RequestResumes, ADrainingRouterRejectsWaitingRequestsBeforeItExits) {
   FakeFront front;
   front.options.graceTime = seconds(8);
   front.requests.leave(front.now);
@@ -332,6 +334,6 @@
   auto commands = front.pass(seconds(0.1));
   CHECK(only<CancelAttempt>(commands).attempt == written);
   CHECK_EQUAL(502, only<RefuseRequest>(commands).status);
-  CHECK_EQUAL(0U, taken<AnswerDone>(commands).size());  // the stream may still end whole
+  CHECK_EQUAL(0U, taken<AnswerDone>(commands).size());  // the stream may still complete
   CHECK(only<AnswerDone>(front.turn(stream, AttemptTurn::kEnded)).whole);
 }
--- a/tests/requests_rules_test.cc
+++ b/tests/requests_rules_test.cc
@@ -1,5 +1,5 @@
-// Rules that hold for every request whatever happens, watched while many of them are under way at
-// once and engines, proofs, keys, routes and clients change at random.
+// Invariants of every request, checked while many requests run concurrently and engines, proofs of
+// freshness, routes and clients change at random.
 #include <set>
 
 #include "tests/requests_fakes.h"
@@ -10,29 +10,29 @@
 
 constexpr Duration kTick = milliseconds(50);
 constexpr Duration kLongestOverDeadline = milliseconds(250);
-constexpr Duration kClientWaits = seconds(9);  // as FakeFront's clients say
+constexpr Duration kClientWaits = seconds(9);  // as set by FakeFront::arrived
 
-/// What was seen of one request, from outside.
+/// What an outside observer has seen of one request.
 struct Seen {
   std::string_view host;
   MonotonicTime asked;
   std::set<EngineId> ranAt;  // engines that did not decline it
   std::size_t opened = 0;
   bool answered = false, gone = false, ended = false;
-  std::shared_ptr<const WireHead> head;  // that the client got
-  bool runEnded = false;                 // the last run's answer came to its own end
+  std::shared_ptr<const WireHead> head;  // as forwarded to the client
+  bool runEnded = false;                 // the last run's response was complete
 };
 
 struct SeenAttempt {
   std::uint64_t request = 0;
   EngineId engine;
   bool open = true, headed = false, written = false;
-  bool failed = false;  // its engine answered with a failure: there is no work left
+  bool failed = false;  // its engine responded with an error and has no work left
   std::shared_ptr<const WireHead> head;
   std::uint64_t next = 1;  // id of its next event
 };
 
-/// Plays engines and clients at random and checks each command.
+/// Simulates engines and clients at random and checks each command.
 class Play {
  public:
   explicit Play(std::uint64_t seed) : random_(seed) {
@@ -55,10 +55,10 @@
       for (const auto& [id, seen] : requests_)
         if (!seen.ended && !seen.gone &&
             front_.now - seen.asked > seconds(6) + kLongestOverDeadline)
-          fail("held over its route's time");
+          fail("active past its route's timeout");
     }
     check(front_.pass(seconds(10)));
-    if (front_.requests.live() != 0) fail("still live");
+    if (front_.requests.live() != 0) fail("request still active");
     if (front_.ledger.under != 0) fail("attempts left open");
   }
   const std::string& fault() const { return fault_; }
@@ -77,7 +77,7 @@
     seen.asked = front_.now;
     check(front_.ask(host, id));
   }
-  /// The world round the requests changes.
+  /// Changes engines, the proof of freshness or a route at random.
   void change() {
     switch (random_.below(40)) {
       case 0:
@@ -109,11 +109,11 @@
       check(front_.outbox.take());
       for (const auto& [attempt, one] : attemptsSeen_)
         if (one.request == id && one.open && !one.failed)
-          fail("an engine works on for a client that left");
+          fail("an engine still works for a client that disconnected");
       return;
     }
   }
-  /// Something happens to one attempt under way.
+  /// Delivers a random event to one open attempt.
   void turnOne() {
     std::vector<std::uint64_t> open;
     for (const auto& [id, attempt] : attemptsSeen_)
@@ -169,12 +169,12 @@
   }
   void see(const OpenAttempt& open) {
     Seen& seen = requests_.at(open.request.value);
-    if (seen.gone || seen.ended) fail("sent for a client that left or has its answer");
+    if (seen.gone || seen.ended) fail("attempt sent after the disconnect or the final response");
     if (front_.now + open.timeLeft > seen.asked + std::min(kClientWaits, seconds(6)))
-      fail("an engine is handed more time than is left");
+      fail("an engine is given more time than is left");
     seen.ranAt.insert(open.engine);
     if (static_cast<int>(seen.ranAt.size()) > attempts_[seen.host])
-      fail("on more engines than the route's attempts");
+      fail("may have run on more engines than the route's attempts");
     bool repeatable = seen.host == "safe" || seen.host == "resumed";
     if (!repeatable && seen.ranAt.size() > 1) fail("may run twice");
     ++seen.opened;
@@ -192,21 +192,21 @@
     bool engines = std::ranges::any_of(attemptsSeen_, [&](const auto& entry) {
       return entry.second.request == answer.request.value && entry.second.head == answer.head;
     });
-    if (!engines) fail("a head that no engine of this request gave, or changed on its way");
+    if (!engines) fail("head not from an engine of this request, or modified");
   }
   void see(const AnswerDone& done) {
     Seen& seen = requests_.at(done.request.value);
-    if (done.whole && !seen.runEnded) fail("an answer that ended early appears complete");
+    if (done.whole && !seen.runEnded) fail("a response that ended early appears complete");
     end(seen);
   }
   void see(const RefuseRequest& refuse) {
     Seen& seen = requests_.at(refuse.request.value);
-    if (seen.head) fail("refused behind an engine's head");
-    if (refuse.status == 503 && !refuse.retryAfter) fail("no time to come back");
+    if (seen.head) fail("rejected after a forwarded head");
+    if (refuse.status == 503 && !refuse.retryAfter) fail("no Retry-After");
     end(seen);
   }
   void end(Seen& seen) {
-    if (seen.gone || seen.ended) fail("answered twice, or one who left");
+    if (seen.gone || seen.ended) fail("two final responses, or one after a disconnect");
     seen.ended = true;
   }
   template <class T>
@@ -225,7 +225,7 @@
 
 TEST_GROUP(RequestRules){};
 
-TEST(RequestRules, HoldWhateverEnginesClientsAndOperatorsDo) {
+TEST(RequestRules, HoldUnderRandomEnginesClientsAndConfigurationChanges) {
   std::size_t resumed = 0, suspended = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Play play(seed);
@@ -238,7 +238,7 @@
   CHECK(suspended > 300);
 }
 
-TEST(RequestRules, TheFinalAnswerComesAtTheRoutesDeadline) {
+TEST(RequestRules, TheFinalResponseComesAtTheRoutesDeadline) {
   for (auto host : kHosts) {
     FakeFront front;
     front.facts.byHost[std::string(host)].timeout = seconds(2);
@@ -254,7 +254,7 @@
   }
 }
 
-TEST(RequestRules, ASecondEngineIsHandedWhatIsLeft) {
+TEST(RequestRules, ASecondEngineIsGivenTheRemainingTime) {
   FakeFront front;
   AttemptId id = only<OpenAttempt>(front.ask("resumed")).attempt;
   front.turn(id, AttemptTurn::kWritten);
--- a/tests/requests_turns_test.cc
+++ b/tests/requests_turns_test.cc
@@ -1,11 +1,11 @@
-// What engines' answers, silence, deadlines and clients do to a request, point by point.
+// Effect of engine responses, silence, deadlines and clients on a request, case by case.
 #include "tests/requests_fakes.h"
 
 using namespace peppergate;
 
 namespace {
 
-/// What a client is told for a head that is the first attempt's, by host.
+/// The reaction to the head of the first attempt's response, by host.
 enum class Told : std::uint8_t { kPassed, kAgain, kRefused502, kNothingYet };
 struct HeadRow {
   const char* host;
@@ -14,7 +14,7 @@
   Told told;
 };
 constexpr std::array<HeadRow, 26> kHeads{{
-    {"unsafe", 200, false, true, Told::kNothingYet},  // the head goes with the first bytes
+    {"unsafe", 200, false, true, Told::kNothingYet},  // the head is forwarded with the first bytes
     {"unsafe", 200, false, false, Told::kRefused502},
     {"unsafe", 200, true, true, Told::kRefused502},
     {"unsafe", 302, false, false, Told::kPassed},
@@ -59,7 +59,7 @@
 
 TEST_GROUP(RequestTurns){};
 
-TEST(RequestTurns, HeadsOfEachKind) {
+TEST(RequestTurns, EachKindOfHeadIsForwardedRetriedOrRejected) {
   for (const auto& row : kHeads) {
     FakeFront front;
     auto turned = FakeFront::headOf(first(front, row.host), row.status, row.notRun);
@@ -71,11 +71,11 @@
     CHECK_EQUAL(row.told == Told::kRefused502, refused.size() == 1);
     if (!refused.empty()) CHECK_EQUAL(502, refused.front().status);
     CHECK_EQUAL(row.told == Told::kNothingYet, commands.empty());
-    CHECK_EQUAL(0U, taken<CancelAttempt>(commands).size());  // its connection may be kept
+    CHECK_EQUAL(0U, taken<CancelAttempt>(commands).size());  // its connection may be reused
   }
 }
 
-TEST(RequestTurns, AnAnswerIsPassedWholeWithItsHeadAtTheFirstBytes) {
+TEST(RequestTurns, AResponseIsForwardedWholeWithItsHeadAtTheFirstBytes) {
   for (auto host : kHosts) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -96,7 +96,7 @@
   }
 }
 
-TEST(RequestTurns, AnEmptyAnswerIsWholeToo) {
+TEST(RequestTurns, AnEmptyResponseIsComplete) {
   FakeFront front;
   AttemptId id = first(front, "unsafe");
   front.head(id, 200);
@@ -106,7 +106,7 @@
   CHECK(only<AnswerDone>(commands).whole);
 }
 
-TEST(RequestTurns, BrokenUnsafeRequestsAre502OrCut) {
+TEST(RequestTurns, BrokenUnsafeRequestsGet502OrAreTruncated) {
   for (auto host : {"unsafe", "plain"}) {
     FakeFront front;
     auto commands = front.turn(first(front, host), AttemptTurn::kBroken);
@@ -117,7 +117,7 @@
   }
 }
 
-TEST(RequestTurns, BrokenSafeRequestsGoElsewhereUntilTheClientHasSomething) {
+TEST(RequestTurns, BrokenSafeRequestsAreRetriedUntilTheClientHasBytes) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.head(id, 200);
@@ -128,7 +128,7 @@
   CHECK(!only<AnswerDone>(front.turn(open.attempt, AttemptTurn::kBroken)).whole);
 }
 
-TEST(RequestTurns, AttemptsBoundTheEnginesSentToButNotThoseNeverReached) {
+TEST(RequestTurns, AttemptLimitCountsEnginesSentToButNotUnreachedOnes) {
   FakeFront front;
   front.facts.byHost["unsafe"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.ask("unsafe")).attempt;
@@ -142,7 +142,7 @@
   CHECK(*refuse.retryAfter == milliseconds(900));
 }
 
-TEST(RequestTurns, NeverReachingAnyEngineIs503) {
+TEST(RequestTurns, NeverReachingAnyEngineGets503) {
   FakeFront front;
   front.placer.engines = 2;
   AttemptId id = only<OpenAttempt>(front.ask("unsafe")).attempt;
@@ -152,7 +152,7 @@
   CHECK_EQUAL(2, front.placer.droppedCount);
 }
 
-TEST(RequestTurns, AResumedStreamGoesOnBehindWhatTheClientHas) {
+TEST(RequestTurns, AResumedStreamContinuesAfterTheClientsLastEvent) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 3);
   auto open = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken));
@@ -167,7 +167,7 @@
   CHECK_EQUAL(1U, front.counter("streams.resumed"));
 }
 
-TEST(RequestTurns, AGapWhereRunsJoinGoesElsewhereOrIsCut) {
+TEST(RequestTurns, AGapWhereRunsJoinIsRetriedOrTruncated) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 3);
   id = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken)).attempt;
@@ -179,7 +179,7 @@
   CHECK(!only<AnswerDone>(front.body(id, "e6", 6)).whole);
 }
 
-TEST(RequestTurns, EventsOfSeveralTokensMayRiseByTheStride) {
+TEST(RequestTurns, EventIdsMayRiseByTheStride) {
   FakeFront front;
   ServiceConfig service;
   service.engine = EngineShape{};
@@ -194,7 +194,7 @@
   CHECK(!only<AnswerDone>(front.body(id, "e14", 14)).whole);
 }
 
-TEST(RequestTurns, ARunThatEndsShortOfTheOthersEventsIsNoEnd) {
+TEST(RequestTurns, ARunThatEndsBeforeTheClientsLastEventIsNotAnEnd) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = streaming(front, "resumed", 5);
@@ -204,7 +204,7 @@
   CHECK(!only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestTurns, AnAnswerWithALengthIsNotJoined) {
+TEST(RequestTurns, AResponseWithALengthIsNotContinued) {
   FakeFront front;
   AttemptId id = first(front, "resumed");
   auto turned = FakeFront::headOf(id, 200);
@@ -216,7 +216,7 @@
   CHECK(!only<AnswerDone>(front.turn(id, AttemptTurn::kBroken)).whole);
 }
 
-TEST(RequestTurns, AFailureWhileResumingGoesElsewhereOrIsCut) {
+TEST(RequestTurns, AFailureWhileResumingIsRetriedOrTruncated) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 2);
   id = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken)).attempt;
@@ -226,7 +226,7 @@
   CHECK(!only<AnswerDone>(commands).whole);
 }
 
-TEST(RequestTurns, AFailureIsPassedUnchangedOnceNoOtherEngineMayBeAsked) {
+TEST(RequestTurns, AFailureIsForwardedUnchangedOnceNoAttemptIsLeft) {
   FakeFront front;
   front.facts.byHost["safe"].attempts = 1;
   AttemptId id = first(front, "safe");
@@ -236,7 +236,7 @@
   CHECK_EQUAL(1U, front.counter("requests.failed"));
 }
 
-TEST(RequestTurns, DeadlinesAre504OrACut) {
+TEST(RequestTurns, AtTheDeadlineRequestsGet504OrAreTruncated) {
   for (auto host : {"unsafe", "plain"}) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -250,7 +250,7 @@
   }
 }
 
-TEST(RequestTurns, SilenceBeforeTheFirstEventGoesElsewhereIfItMay) {
+TEST(RequestTurns, SilenceBeforeTheFirstEventIsRetriedIfRepeatable) {
   for (auto host : {"safe", "resumed"}) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -272,7 +272,7 @@
   CHECK_EQUAL(3U, *open.resumeAfter);
 }
 
-TEST(RequestTurns, ASilentEngineKeepsItsRequestWhileThereIsNoOther) {
+TEST(RequestTurns, ASilentEngineKeepsItsRequestWhileNoOtherIsAvailable) {
   FakeFront front;
   front.placer.engines = 1;
   AttemptId id = first(front, "safe");
@@ -282,19 +282,19 @@
   CHECK(only<CancelAttempt>(front.pass(seconds(0.2))).attempt == id);
 }
 
-TEST(RequestTurns, AClientThatReadsSlowlyPausesItsOwnAttemptOnly) {
+TEST(RequestTurns, ASlowClientPausesOnlyItsOwnAttempt) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 2);
   front.requests.slow({{1}, true}, front.now, front.outbox);
   auto pause = only<PauseAttempt>(front.outbox.take());
   CHECK(pause.attempt == id && pause.paused);
-  CHECK_EQUAL(0U, front.pass(seconds(5)).size());  // its silence is not the engine's
+  CHECK_EQUAL(0U, front.pass(seconds(5)).size());  // not counted as silence of the engine
   front.requests.slow({{1}, false}, front.now, front.outbox);
   CHECK(!only<PauseAttempt>(front.outbox.take()).paused);
   CHECK_EQUAL(1U, taken<OpenAttempt>(front.pass(seconds(1.3))).size());
 }
 
-TEST(RequestTurns, GoneClientsEndTheirAttempt) {
+TEST(RequestTurns, AClientDisconnectCancelsTheAttempt) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.requests.gone({1}, front.now, front.outbox);
@@ -306,7 +306,7 @@
   CHECK_EQUAL(0U, front.requests.live());
 }
 
-TEST(RequestTurns, WithdrawnKeysAndOldProofsBindOnlyNewAttempts) {
+TEST(RequestTurns, WithdrawnKeysAndExpiredProofsStopOnlyNewAttempts) {
   for (bool key : {true, false}) {
     FakeFront front;
     AttemptId id = streaming(front, "resumed", 2);
@@ -316,7 +316,8 @@
     CHECK_EQUAL(1U, taken<AnswerBody>(front.body(id, "e", 3)).size());
     auto commands = front.turn(id, AttemptTurn::kBroken);
     CHECK_EQUAL(0U, taken<OpenAttempt>(commands).size());
-    // A key never comes back. A proof may: the stream waits for it, to its deadline at the longest.
+    // A withdrawn key is never restored. A proof may be renewed: the stream waits for one until its
+    // deadline.
     if (!key) {
       CHECK_EQUAL(0U, front.pass(seconds(8.9)).size());
       commands = front.pass(seconds(0.1));
@@ -331,7 +332,7 @@
   }
 }
 
-TEST(RequestTurns, ARouteThatIsGoneGetsNoFurtherAttempt) {
+TEST(RequestTurns, ARemovedRouteGetsNoRetry) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.facts.byHost.erase("safe");
@@ -339,7 +340,7 @@
   CHECK_EQUAL(502, only<RefuseRequest>(front.turn(id, AttemptTurn::kBroken)).status);
 }
 
-TEST(RequestTurns, ARouteThatTurnedUnsafeIsNotRunAgain) {
+TEST(RequestTurns, ARouteThatBecameUnsafeIsNotRetried) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.facts.byHost["safe"].kind = RouteKind::kUnsafe;
@@ -347,7 +348,7 @@
   CHECK_EQUAL(502, only<RefuseRequest>(front.turn(id, AttemptTurn::kBroken)).status);
 }
 
-TEST(RequestTurns, LoadAndVersionsAreTold) {
+TEST(RequestTurns, LoadAndVersionsAreRecorded) {
   FakeFront front;
   auto turned = FakeFront::headOf(first(front, "resumed"), 200);
   turned.load = EngineLoad{4, 1, 8};
@@ -365,7 +366,7 @@
   CHECK(front.ledger.versions[{"m"}] == WeightsVersion{4});
 }
 
-TEST(RequestTurns, BlameFollowsWhatTheEngineDid) {
+TEST(RequestTurns, AttemptsEndWithTheFaultOfTheEngine) {
   struct Row {
     int status;
     bool notRun;
