--- a/src/requests/router_node.cc
+++ b/src/requests/router_node.cc
@@ -7,14 +7,17 @@
 
 // Paces of usage broadcasts, by the number of routers. Unchanged usage is sent only every second
 // time and expires at its receivers after two seconds (`EngineBook`), so twice the longest interval
-// has to be shorter than that. Usage of links:
+// has to be shorter than that.
+//
+// Usage of links:
 constexpr FleetPace kTell{seconds(0.5), milliseconds(10), seconds(0.95)};
 // Requests of this router per engine, which are useful for about as long as a prompt waits for its
 // prefill:
 constexpr FleetPace kTellUse{seconds(0.2), milliseconds(5), seconds(0.5)};
-constexpr double kToldWithin = 0.9;  // fraction of the interval within which a round is sent
-constexpr Duration kNoticed =
-    seconds(3.2);  // from the drain request until no more clients are sent here
+// The fraction of the interval within which a round is sent.
+constexpr double kToldWithin = 0.9;
+// The time from the drain request until no more clients are sent here.
+constexpr Duration kNoticed = seconds(3.2);
 
 }  // namespace
 
--- a/tests/answer_times_test.cc
+++ b/tests/answer_times_test.cc
@@ -24,26 +24,26 @@
 
 }  // namespace
 
-TEST_GROUP(AnswerTimings){};
+TEST_GROUP(ResponseTimings){};
 
-TEST(AnswerTimings, AFirstEventAfterTheTargetIsLate) {
+TEST(ResponseTimings, AFirstEventAfterTheTargetIsLate) {
   Route route = routeWith(seconds(1), seconds(0.5));
   CHECK(timingOf(route, {2}) == AnswerTiming::kInTime);
   CHECK(timingOf(route, {2.01}) == AnswerTiming::kLateFirst);
 }
 
-TEST(AnswerTimings, ALongPauseIsLateButALateFirstEventTakesPrecedence) {
+TEST(ResponseTimings, ALongPauseIsLateButALateFirstEventTakesPrecedence) {
   Route route = routeWith(seconds(1), seconds(0.5));
   CHECK(timingOf(route, {1.5, 2, 2.5}) == AnswerTiming::kInTime);
   CHECK(timingOf(route, {1.5, 2.1, 2.2}) == AnswerTiming::kLatePause);
   CHECK(timingOf(route, {2.5, 3.5}) == AnswerTiming::kLateFirst);
 }
 
-TEST(AnswerTimings, RoutesWithoutTargetsHaveNoLateResponses) {
+TEST(ResponseTimings, RoutesWithoutTargetsHaveNoLateResponses) {
   CHECK(timingOf(routeWith({}, {}), {9, 20}) == AnswerTiming::kInTime);
 }
 
-TEST(AnswerTimings, CounterNamesContainUrgencyAndReason) {
+TEST(ResponseTimings, CounterNamesContainUrgencyAndReason) {
   STRCMP_EQUAL("answers.2.late_pause", answerCounter(AnswerTiming::kLatePause, 2).c_str());
   STRCMP_EQUAL("answers.0.in_time", answerCounter(AnswerTiming::kInTime, 0).c_str());
 }
--- a/tests/requests_ask_test.cc
+++ b/tests/requests_ask_test.cc
@@ -37,9 +37,9 @@
 
 }  // namespace
 
-TEST_GROUP(RequestAsks){};
+TEST_GROUP(RequestAdmission){};
 
-TEST(RequestAsks, RejectionsAreTypedAndImmediate) {
+TEST(RequestAdmission, RejectionsAreTypedAndImmediate) {
   for (const auto& row : kRefusals)
     for (auto host : kHosts) {
       FakeFront front;
@@ -56,7 +56,7 @@
     }
 }
 
-TEST(RequestAsks, RetryAfterIsTheForecastOrRandomAndBounded) {
+TEST(RequestAdmission, RetryAfterIsTheForecastOrRandomAndBounded) {
   FakeFront front;
   front.facts.proofEnd = front.now;
   std::set<std::int64_t> seen;
@@ -74,7 +74,7 @@
   CHECK(*only<RefuseRequest>(front.ask("unsafe", 61)).retryAfter <= seconds(3));
 }
 
-TEST(RequestAsks, AnAttemptCarriesAllThatTheEngineNeeds) {
+TEST(RequestAdmission, AnAttemptCarriesAllThatTheEngineNeeds) {
   FakeFront front;
   front.facts.proofEnd = front.now + seconds(2);
   auto asked = FakeFront::arrived("resumed", 4);
@@ -100,7 +100,7 @@
   CHECK(!only<OpenAttempt>(front.ask("safe", 6)).stream);
 }
 
-TEST(RequestAsks, TheRoutesTimeoutBoundsTheTimeLeft) {
+TEST(RequestAdmission, TheRoutesTimeoutBoundsTheTimeLeft) {
   FakeFront front;
   front.facts.byHost["safe"].timeout = seconds(4);
   CHECK(only<OpenAttempt>(front.ask("safe", 1)).timeLeft == seconds(4));
@@ -109,7 +109,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).timeLeft == seconds(4));
 }
 
-TEST(RequestAsks, OpenRoutesNeedNoKeyAndHaveNoTenant) {
+TEST(RequestAdmission, OpenRoutesNeedNoKeyAndHaveNoTenant) {
   FakeFront front;
   front.facts.byHost["safe"].open = true;
   CHECK(only<OpenAttempt>(front.ask("safe", 1)).tenant.value.empty());
@@ -119,7 +119,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).tenant.value.empty());
 }
 
-TEST(RequestAsks, ServicesAreChosenByWeightAndEachClientIdKeepsItsService) {
+TEST(RequestAdmission, ServicesAreChosenByWeightAndEachClientIdKeepsItsService) {
   Route route = routeOf(RouteKind::kSafe);
   route.services = {{ServiceName{"a"}, 90}, {ServiceName{"none"}, 0}, {ServiceName{"b"}, 10}};
   int toB = 0;
@@ -135,7 +135,7 @@
   CHECK(chooseService(route, "id") == nullptr);
 }
 
-TEST(RequestAsks, UrgencyRanksByTenantFirstAndRouteSecond) {
+TEST(RequestAdmission, UrgencyRanksByTenantFirstAndRouteSecond) {
   FleetConfig config;
   for (int urgency : {0, 2, 7}) {
     std::string name = "t" + std::to_string(urgency);
@@ -159,7 +159,7 @@
   CHECK_EQUAL(9, table.of(7, 9));
 }
 
-TEST(RequestAsks, UrgencyFollowsTheCurrentConfiguration) {
+TEST(RequestAdmission, UrgencyFollowsTheCurrentConfiguration) {
   FakeFront front;
   CHECK_EQUAL(0, only<OpenAttempt>(front.ask("safe", 1)).urgency);
   front.facts.fleet.tenants[{"gold"}] = TenantConfig{{"gold"}, 0, false};
@@ -167,7 +167,7 @@
   CHECK_EQUAL(1, only<OpenAttempt>(front.ask("safe", 2)).urgency);
 }
 
-TEST(RequestAsks, ARequestIdInProgressIsNotAcceptedTwice) {
+TEST(RequestAdmission, ARequestIdInProgressIsNotAcceptedTwice) {
   FakeFront front;
   CHECK_EQUAL(1U, front.ask("unsafe", 1).size());
   CHECK_EQUAL(0U, front.ask("unsafe", 1).size());
--- a/tests/requests_budget_test.cc
+++ b/tests/requests_budget_test.cc
@@ -14,8 +14,8 @@
   return static_cast<std::size_t>(after(end) - after(end - kTerms.window));
 }
 
-/// The most requests of a window, of the window half its length before it, and of the window
-/// before.
+/// The most requests of the window that ends at `end` and of those that end half a window and a
+/// whole window earlier.
 std::size_t mostWithin(const std::vector<MonotonicTime>& firsts, MonotonicTime end) {
   return std::max({within(firsts, end), within(firsts, end - kTerms.window * 0.5),
                    within(firsts, end - kTerms.window)});
--- a/tests/requests_order_test.cc
+++ b/tests/requests_order_test.cc
@@ -359,28 +359,30 @@
 
 }  // namespace
 
-TEST_GROUP(RequestOrders){};
+TEST_GROUP(RequestEventOrders){};
 
-TEST(RequestOrders, UnsafeRequestsRunAtMostOnceAndRejectionsAreTruthful) {
+TEST(RequestEventOrders, UnsafeRequestsRunAtMostOnceAndRejectionsAreTruthful) {
   walkAll({"unsafe", true, {}}, 5);
 }
-TEST(RequestOrders, PlainStreamsRunAtMostOnceAndKeepEventOrder) { walkAll({"plain", true, {}}, 5); }
-TEST(RequestOrders, SafeRequestsGetExactlyOneResponse) { walkAll({"safe", true, {}}, 5); }
-TEST(RequestOrders, ResumedStreamsLoseAndRepeatNoEvent) { walkAll({"resumed", true, {}}, 5); }
-TEST(RequestOrders, ResumingClientsGetTheEventsAfterTheirLast) {
+TEST(RequestEventOrders, PlainStreamsRunAtMostOnceAndKeepEventOrder) {
+  walkAll({"plain", true, {}}, 5);
+}
+TEST(RequestEventOrders, SafeRequestsGetExactlyOneResponse) { walkAll({"safe", true, {}}, 5); }
+TEST(RequestEventOrders, ResumedStreamsLoseAndRepeatNoEvent) { walkAll({"resumed", true, {}}, 5); }
+TEST(RequestEventOrders, ResumingClientsGetTheEventsAfterTheirLast) {
   walkAll({"resumed", true, 12}, 5);
 }
-TEST(RequestOrders, BrokenStreamsContinueAtAnotherEngine) {
+TEST(RequestEventOrders, BrokenStreamsContinueAtAnotherEngine) {
   walkAll({"resumed", true, {}}, 5,
           {Step::kWritten, Step::kGoodHead, Step::kTwoEvents, Step::kBroken});
 }
-TEST(RequestOrders, DeclinedUnsafeRequestsRunAtMostOnce) {
+TEST(RequestEventOrders, DeclinedUnsafeRequestsRunAtMostOnce) {
   walkAll({"unsafe", true, {}}, 5, {Step::kWritten, Step::kNotRunHead, Step::kNotWritten});
 }
-TEST(RequestOrders, AllHoldWithoutARetryBudget) {
+TEST(RequestEventOrders, AllHoldWithoutARetryBudget) {
   for (auto host : kHosts) walkAll({host, false, {}}, 4);
 }
-TEST(RequestOrders, EnumerationDetectsDisabledGuards) {
+TEST(RequestEventOrders, EnumerationDetectsDisabledGuards) {
   CHECK(tells(faultWithout(Guard::kNoRepeat, "unsafe"), "may run twice"));
   CHECK(tells(faultWithout(Guard::kNoRepeat, "plain"), "may run twice"));
   CHECK(tells(faultWithout(Guard::kHonestRejection, "resumed"),
--- a/tests/requests_resume_test.cc
+++ b/tests/requests_resume_test.cc
@@ -1,13 +1,12 @@
-// What ends a stream in progress and what doesn't: the table in docs/design-requests.md, row by
-// row.
+// What ends a stream in progress and what doesn't: one test per row of docs/design-requests.md.
 #include "tests/requests_fakes.h"
 
 using namespace peppergate;
 
 namespace {
 
-constexpr Duration kLookAgain =
-    milliseconds(260);  // just above the longest wait of a suspended stream
+/// Just above the longest wait of a suspended stream.
+constexpr Duration kLookAgain = milliseconds(260);
 
 /// Starts a resumable stream and forwards its first events.
 AttemptId streaming(FakeFront& front, std::uint64_t events = 3) {
@@ -42,9 +41,9 @@
 
 }  // namespace
 
-TEST_GROUP(RequestResumes){};
+TEST_GROUP(StreamResumption){};
 
-TEST(RequestResumes, AStreamDeclinedByItsSecondEngineTriesAThird) {
+TEST(StreamResumption, AStreamDeclinedByItsSecondEngineTriesAThird) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -53,7 +52,7 @@
   endsWhole(front, open);
 }
 
-TEST(RequestResumes, BeforeTheHeadADeclineCountsAsAnAttempt) {
+TEST(StreamResumption, BeforeTheHeadADeclineCountsAsAnAttempt) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.ask("resumed")).attempt;
@@ -61,7 +60,7 @@
   CHECK_EQUAL(503, only<RefuseRequest>(front.head(id, 503, true)).status);
 }
 
-TEST(RequestResumes, BrokenRunsUseUpTheRoutesAttempts) {
+TEST(StreamResumption, BrokenRunsUseUpTheRoutesAttempts) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -70,7 +69,7 @@
   CHECK(cutIn(front.turn(id, AttemptTurn::kBroken)));
 }
 
-TEST(RequestResumes, WithoutAnEngineTheStreamIsSuspended) {
+TEST(StreamResumption, WithoutAnEngineTheStreamIsSuspended) {
   for (auto fault : {PlaceFault::kNoEngine, PlaceFault::kFull}) {
     FakeFront front;
     front.placer.refusal.fault = fault;
@@ -82,7 +81,7 @@
   }
 }
 
-TEST(RequestResumes, ASuspendedStreamIsTruncatedAtItsDeadline) {
+TEST(StreamResumption, ASuspendedStreamIsTruncatedAtItsDeadline) {
   FakeFront front;
   suspend(front);
   front.placer.engines = 0;
@@ -91,7 +90,7 @@
   CHECK_EQUAL(0U, front.requests.live());
 }
 
-TEST(RequestResumes, WithTooLittleTimeForAnAttemptItIsTruncatedAtItsDeadline) {
+TEST(StreamResumption, WithTooLittleTimeForAnAttemptItIsTruncatedAtItsDeadline) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.pass(seconds(0.9));
@@ -104,7 +103,7 @@
   CHECK(cutIn(front.pass(seconds(0.02))));
 }
 
-TEST(RequestResumes, AStreamOverTheRetryBudgetWaitsForBudget) {
+TEST(StreamResumption, AStreamOverTheRetryBudgetWaitsForBudget) {
   FakeFront front;
   front.options.budgetShare = 0.5;  // four first attempts allow one retry
   CHECK_EQUAL(0U, front.turn(streaming(front), AttemptTurn::kBroken).size());
@@ -113,7 +112,7 @@
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, PartOfTheBudgetIsReservedForStreamsInProgress) {
+TEST(StreamResumption, PartOfTheBudgetIsReservedForStreamsInProgress) {
   FakeFront front;
   front.options.budgetShare = 0.5;
   AttemptId stream = streaming(front);
@@ -125,7 +124,7 @@
   CHECK_EQUAL(1U, taken<OpenAttempt>(front.turn(stream, AttemptTurn::kBroken)).size());
 }
 
-TEST(RequestResumes, WithoutAProofOfFreshnessAStreamWaitsForOne) {
+TEST(StreamResumption, WithoutAProofOfFreshnessAStreamWaitsForOne) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.proofEnd = front.now;
@@ -135,7 +134,7 @@
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, AFailureOfTheNextEngineSuspendsAStream) {
+TEST(StreamResumption, AFailureOfTheNextEngineSuspendsAStream) {
   for (int status : {404, 500, 503}) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.turn(streaming(front), AttemptTurn::kBroken)).attempt;
@@ -146,7 +145,7 @@
   }
 }
 
-TEST(RequestResumes, UnreachableEnginesSuspendAStream) {
+TEST(StreamResumption, UnreachableEnginesSuspendAStream) {
   FakeFront front;
   front.placer.engines = 20;
   auto commands = front.turn(streaming(front), AttemptTurn::kBroken);
@@ -156,7 +155,7 @@
   endsWhole(front, only<OpenAttempt>(front.pass(kLookAgain)));
 }
 
-TEST(RequestResumes, AStreamDeclinedByAllEnginesRetriesAtALimitedRate) {
+TEST(StreamResumption, AStreamDeclinedByAllEnginesRetriesAtALimitedRate) {
   FakeFront front;
   front.options.budgetShare = 1000;
   auto commands = front.turn(streaming(front), AttemptTurn::kBroken);
@@ -175,7 +174,7 @@
   CHECK(asked <= 25);
 }
 
-TEST(RequestResumes, AStreamContinuesAfterItsRouteIsRemoved) {
+TEST(StreamResumption, AStreamContinuesAfterItsRouteIsRemoved) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost.erase("resumed");
@@ -185,7 +184,7 @@
   endsWhole(front, open);
 }
 
-TEST(RequestResumes, AStreamWhoseServiceIsRemovedIsSuspendedUntilItsDeadline) {
+TEST(StreamResumption, AStreamWhoseServiceIsRemovedIsSuspendedUntilItsDeadline) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost.erase("resumed");
@@ -195,7 +194,7 @@
   CHECK(cutIn(front.pass(seconds(9))));
 }
 
-TEST(RequestResumes, AWithdrawnKeyTruncatesAStreamThatNeedsAnAttempt) {
+TEST(StreamResumption, AWithdrawnKeyTruncatesAStreamThatNeedsAnAttempt) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byKey.clear();
@@ -211,7 +210,7 @@
   CHECK_EQUAL(0U, taken<OpenAttempt>(commands).size());
 }
 
-TEST(RequestResumes, AKeyMovedToAnotherTenantTruncatesTheStream) {
+TEST(StreamResumption, AKeyMovedToAnotherTenantTruncatesTheStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byKey["key"].name = {"blue"};
@@ -219,7 +218,7 @@
   CHECK(cutIn(front.turn(id, AttemptTurn::kBroken)));
 }
 
-TEST(RequestResumes, ARouteThatIsNoLongerResumableTruncatesTheStream) {
+TEST(StreamResumption, ARouteThatIsNoLongerResumableTruncatesTheStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.byHost["resumed"].resumable = false;
@@ -227,7 +226,7 @@
   CHECK(cutIn(front.turn(id, AttemptTurn::kBroken)));
 }
 
-TEST(RequestResumes, OtherConfigurationChangesDontAffectAStream) {
+TEST(StreamResumption, OtherConfigurationChangesDontAffectAStream) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.facts.fleet.version = {2};
@@ -238,7 +237,7 @@
   CHECK(only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestResumes, SilenceEndsNothingWhileNoOtherEngineIsAvailable) {
+TEST(StreamResumption, SilenceEndsNothingWhileNoOtherEngineIsAvailable) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.placer.engines = 0;
@@ -247,7 +246,7 @@
   CHECK(only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestResumes, AResponseThatCantBeContinuedIsTruncatedAtOnce) {
+TEST(StreamResumption, AResponseThatCantBeContinuedIsTruncatedAtOnce) {
   for (auto host : {"plain", "safe", "unsafe"}) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.ask(host)).attempt;
@@ -258,7 +257,7 @@
   }
 }
 
-TEST(RequestResumes, BeforeTheHeadNothingIsSuspended) {
+TEST(StreamResumption, BeforeTheHeadNothingIsSuspended) {
   for (auto host : kHosts) {
     FakeFront front;
     AttemptId id = only<OpenAttempt>(front.ask(host)).attempt;
@@ -274,7 +273,7 @@
   }
 }
 
-TEST(RequestResumes, ADisconnectDuringSuspensionRemovesTheRequest) {
+TEST(StreamResumption, ADisconnectDuringSuspensionRemovesTheRequest) {
   FakeFront front;
   suspend(front);
   front.requests.gone({1}, front.now, front.outbox);
@@ -283,7 +282,7 @@
   CHECK_EQUAL(0U, front.pass(seconds(10)).size());
 }
 
-TEST(RequestResumes, AStreamOfASlowClientIsResumed) {
+TEST(StreamResumption, AStreamOfASlowClientIsResumed) {
   FakeFront front;
   suspend(front);
   front.requests.slow({{1}, true}, front.now, front.outbox);
@@ -293,7 +292,7 @@
   CHECK_EQUAL(1U, taken<OpenAttempt>(commands).size());
 }
 
-TEST(RequestResumes, ADrainingRouterContinuesItsStreams) {
+TEST(StreamResumption, ADrainingRouterContinuesItsStreams) {
   FakeFront front;
   AttemptId id = streaming(front);
   front.requests.leave(front.now);
@@ -307,7 +306,7 @@
   CHECK_EQUAL(4U, *open.resumeAfter);
 }
 
-TEST(RequestResumes, ADrainingRouterRejectsLateRequests) {
+TEST(StreamResumption, ADrainingRouterRejectsLateRequests) {
   FakeFront front;
   front.requests.leave(front.now);
   front.pass(seconds(2.7));
@@ -321,7 +320,7 @@
   }
 }
 
-TEST(RequestResumes, ADrainingRouterRejectsWaitingRequestsBeforeItExits) {
+TEST(StreamResumption, ADrainingRouterRejectsWaitingRequestsBeforeItExits) {
   FakeFront front;
   front.options.graceTime = seconds(8);
   front.requests.leave(front.now);
--- a/tests/requests_rules_test.cc
+++ b/tests/requests_rules_test.cc
@@ -223,9 +223,9 @@
 
 }  // namespace
 
-TEST_GROUP(RequestRules){};
+TEST_GROUP(RequestInvariants){};
 
-TEST(RequestRules, HoldUnderRandomEnginesClientsAndConfigurationChanges) {
+TEST(RequestInvariants, HoldUnderRandomEnginesClientsAndConfigurationChanges) {
   std::size_t resumed = 0, suspended = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Play play(seed);
@@ -238,7 +238,7 @@
   CHECK(suspended > 300);
 }
 
-TEST(RequestRules, TheFinalResponseComesAtTheRoutesDeadline) {
+TEST(RequestInvariants, TheFinalResponseComesAtTheRoutesDeadline) {
   for (auto host : kHosts) {
     FakeFront front;
     front.facts.byHost[std::string(host)].timeout = seconds(2);
@@ -254,7 +254,7 @@
   }
 }
 
-TEST(RequestRules, ASecondEngineIsGivenTheRemainingTime) {
+TEST(RequestInvariants, ASecondEngineIsGivenTheRemainingTime) {
   FakeFront front;
   AttemptId id = only<OpenAttempt>(front.ask("resumed")).attempt;
   front.turn(id, AttemptTurn::kWritten);
--- a/tests/requests_turns_test.cc
+++ b/tests/requests_turns_test.cc
@@ -57,9 +57,9 @@
 
 }  // namespace
 
-TEST_GROUP(RequestTurns){};
+TEST_GROUP(RequestAttempts){};
 
-TEST(RequestTurns, EachKindOfHeadIsForwardedRetriedOrRejected) {
+TEST(RequestAttempts, EachKindOfHeadIsForwardedRetriedOrRejected) {
   for (const auto& row : kHeads) {
     FakeFront front;
     auto turned = FakeFront::headOf(first(front, row.host), row.status, row.notRun);
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(RequestTurns, AResponseIsForwardedWholeWithItsHeadAtTheFirstBytes) {
+TEST(RequestAttempts, AResponseIsForwardedWholeWithItsHeadAtTheFirstBytes) {
   for (auto host : kHosts) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -96,7 +96,7 @@
   }
 }
 
-TEST(RequestTurns, AnEmptyResponseIsComplete) {
+TEST(RequestAttempts, AnEmptyResponseIsComplete) {
   FakeFront front;
   AttemptId id = first(front, "unsafe");
   front.head(id, 200);
@@ -106,7 +106,7 @@
   CHECK(only<AnswerDone>(commands).whole);
 }
 
-TEST(RequestTurns, BrokenUnsafeRequestsGet502OrAreTruncated) {
+TEST(RequestAttempts, BrokenUnsafeRequestsGet502OrAreTruncated) {
   for (auto host : {"unsafe", "plain"}) {
     FakeFront front;
     auto commands = front.turn(first(front, host), AttemptTurn::kBroken);
@@ -117,7 +117,7 @@
   }
 }
 
-TEST(RequestTurns, BrokenSafeRequestsAreRetriedUntilTheClientHasBytes) {
+TEST(RequestAttempts, BrokenSafeRequestsAreRetriedUntilTheClientHasBytes) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.head(id, 200);
@@ -128,7 +128,7 @@
   CHECK(!only<AnswerDone>(front.turn(open.attempt, AttemptTurn::kBroken)).whole);
 }
 
-TEST(RequestTurns, AttemptLimitCountsEnginesSentToButNotUnreachedOnes) {
+TEST(RequestAttempts, AttemptLimitCountsEnginesSentToButNotUnreachedOnes) {
   FakeFront front;
   front.facts.byHost["unsafe"].attempts = 2;
   AttemptId id = only<OpenAttempt>(front.ask("unsafe")).attempt;
@@ -142,7 +142,7 @@
   CHECK(*refuse.retryAfter == milliseconds(900));
 }
 
-TEST(RequestTurns, NeverReachingAnyEngineGets503) {
+TEST(RequestAttempts, NeverReachingAnyEngineGets503) {
   FakeFront front;
   front.placer.engines = 2;
   AttemptId id = only<OpenAttempt>(front.ask("unsafe")).attempt;
@@ -152,7 +152,7 @@
   CHECK_EQUAL(2, front.placer.droppedCount);
 }
 
-TEST(RequestTurns, AResumedStreamContinuesAfterTheClientsLastEvent) {
+TEST(RequestAttempts, AResumedStreamContinuesAfterTheClientsLastEvent) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 3);
   auto open = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken));
@@ -167,7 +167,7 @@
   CHECK_EQUAL(1U, front.counter("streams.resumed"));
 }
 
-TEST(RequestTurns, AGapWhereRunsJoinIsRetriedOrTruncated) {
+TEST(RequestAttempts, AGapWhereRunsJoinIsRetriedOrTruncated) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 3);
   id = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken)).attempt;
@@ -179,7 +179,7 @@
   CHECK(!only<AnswerDone>(front.body(id, "e6", 6)).whole);
 }
 
-TEST(RequestTurns, EventIdsMayRiseByTheStride) {
+TEST(RequestAttempts, EventIdsMayRiseByTheStride) {
   FakeFront front;
   ServiceConfig service;
   service.engine = EngineShape{};
@@ -194,7 +194,7 @@
   CHECK(!only<AnswerDone>(front.body(id, "e14", 14)).whole);
 }
 
-TEST(RequestTurns, ARunThatEndsBeforeTheClientsLastEventIsNotAnEnd) {
+TEST(RequestAttempts, ARunThatEndsBeforeTheClientsLastEventIsNotAnEnd) {
   FakeFront front;
   front.facts.byHost["resumed"].attempts = 2;
   AttemptId id = streaming(front, "resumed", 5);
@@ -204,7 +204,7 @@
   CHECK(!only<AnswerDone>(front.turn(id, AttemptTurn::kEnded)).whole);
 }
 
-TEST(RequestTurns, AResponseWithALengthIsNotContinued) {
+TEST(RequestAttempts, AResponseWithALengthIsNotContinued) {
   FakeFront front;
   AttemptId id = first(front, "resumed");
   auto turned = FakeFront::headOf(id, 200);
@@ -216,7 +216,7 @@
   CHECK(!only<AnswerDone>(front.turn(id, AttemptTurn::kBroken)).whole);
 }
 
-TEST(RequestTurns, AFailureWhileResumingIsRetriedOrTruncated) {
+TEST(RequestAttempts, AFailureWhileResumingIsRetriedOrTruncated) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 2);
   id = only<OpenAttempt>(front.turn(id, AttemptTurn::kBroken)).attempt;
@@ -226,7 +226,7 @@
   CHECK(!only<AnswerDone>(commands).whole);
 }
 
-TEST(RequestTurns, AFailureIsForwardedUnchangedOnceNoAttemptIsLeft) {
+TEST(RequestAttempts, AFailureIsForwardedUnchangedOnceNoAttemptIsLeft) {
   FakeFront front;
   front.facts.byHost["safe"].attempts = 1;
   AttemptId id = first(front, "safe");
@@ -236,7 +236,7 @@
   CHECK_EQUAL(1U, front.counter("requests.failed"));
 }
 
-TEST(RequestTurns, AtTheDeadlineRequestsGet504OrAreTruncated) {
+TEST(RequestAttempts, AtTheDeadlineRequestsGet504OrAreTruncated) {
   for (auto host : {"unsafe", "plain"}) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -250,7 +250,7 @@
   }
 }
 
-TEST(RequestTurns, SilenceBeforeTheFirstEventIsRetriedIfRepeatable) {
+TEST(RequestAttempts, SilenceBeforeTheFirstEventIsRetriedIfRepeatable) {
   for (auto host : {"safe", "resumed"}) {
     FakeFront front;
     AttemptId id = first(front, host);
@@ -262,7 +262,7 @@
   }
 }
 
-TEST(RequestTurns, SilenceWithinAStreamResumesIt) {
+TEST(RequestAttempts, SilenceWithinAStreamResumesIt) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 2);
   CHECK_EQUAL(0U, front.pass(seconds(1.1)).size());  // 0.6 of two seconds
@@ -272,7 +272,7 @@
   CHECK_EQUAL(3U, *open.resumeAfter);
 }
 
-TEST(RequestTurns, ASilentEngineKeepsItsRequestWhileNoOtherIsAvailable) {
+TEST(RequestAttempts, ASilentEngineKeepsItsRequestWhileNoOtherIsAvailable) {
   FakeFront front;
   front.placer.engines = 1;
   AttemptId id = first(front, "safe");
@@ -282,7 +282,7 @@
   CHECK(only<CancelAttempt>(front.pass(seconds(0.2))).attempt == id);
 }
 
-TEST(RequestTurns, ASlowClientPausesOnlyItsOwnAttempt) {
+TEST(RequestAttempts, ASlowClientPausesOnlyItsOwnAttempt) {
   FakeFront front;
   AttemptId id = streaming(front, "resumed", 2);
   front.requests.slow({{1}, true}, front.now, front.outbox);
@@ -294,7 +294,7 @@
   CHECK_EQUAL(1U, taken<OpenAttempt>(front.pass(seconds(1.3))).size());
 }
 
-TEST(RequestTurns, AClientDisconnectCancelsTheAttempt) {
+TEST(RequestAttempts, AClientDisconnectCancelsTheAttempt) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.requests.gone({1}, front.now, front.outbox);
@@ -306,7 +306,7 @@
   CHECK_EQUAL(0U, front.requests.live());
 }
 
-TEST(RequestTurns, WithdrawnKeysAndExpiredProofsStopOnlyNewAttempts) {
+TEST(RequestAttempts, WithdrawnKeysAndExpiredProofsStopOnlyNewAttempts) {
   for (bool key : {true, false}) {
     FakeFront front;
     AttemptId id = streaming(front, "resumed", 2);
@@ -332,7 +332,7 @@
   }
 }
 
-TEST(RequestTurns, ARemovedRouteGetsNoRetry) {
+TEST(RequestAttempts, ARemovedRouteGetsNoRetry) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.facts.byHost.erase("safe");
@@ -340,7 +340,7 @@
   CHECK_EQUAL(502, only<RefuseRequest>(front.turn(id, AttemptTurn::kBroken)).status);
 }
 
-TEST(RequestTurns, ARouteThatBecameUnsafeIsNotRetried) {
+TEST(RequestAttempts, ARouteThatBecameUnsafeIsNotRetried) {
   FakeFront front;
   AttemptId id = first(front, "safe");
   front.facts.byHost["safe"].kind = RouteKind::kUnsafe;
@@ -348,7 +348,7 @@
   CHECK_EQUAL(502, only<RefuseRequest>(front.turn(id, AttemptTurn::kBroken)).status);
 }
 
-TEST(RequestTurns, LoadAndVersionsAreRecorded) {
+TEST(RequestAttempts, LoadAndVersionsAreRecorded) {
   FakeFront front;
   auto turned = FakeFront::headOf(first(front, "resumed"), 200);
   turned.load = EngineLoad{4, 1, 8};
@@ -366,7 +366,7 @@
   CHECK(front.ledger.versions[{"m"}] == WeightsVersion{4});
 }
 
-TEST(RequestTurns, AttemptsEndWithTheFaultOfTheEngine) {
+TEST(RequestAttempts, AttemptsEndWithTheFaultOfTheEngine) {
   struct Row {
     int status;
     bool notRun;
