--- a/src/requests/attempt_budget.h
+++ b/src/requests/attempt_budget.h
@@ -38,7 +38,7 @@
   bool allows(const BudgetTerms& terms, MonotonicTime now);
   /// Counts a retry.
   void take(MonotonicTime now) { furthers_.add(bucketOf(now)); }
-  /// Takes back a retry counted at `taken` that never reached an engine.
+  /// Takes back a retry that was counted at this time and never reached an engine.
   void giveBack(MonotonicTime taken) { furthers_.remove(bucketOf(taken)); }
 
  private:
--- a/src/requests/placer.h
+++ b/src/requests/placer.h
@@ -27,7 +27,7 @@
                                                    const FleetConfig& config,
                                                    const Weights& weights, MonotonicTime now,
                                                    Outbox& outbox) = 0;
-  /// Called when the first event of an attempt arrives, `took` after it was sent.
+  /// Called when the first event of an attempt arrives, with the time since the attempt was sent.
   virtual void firstEvent(RequestId request, Duration took, MonotonicTime now, Outbox& outbox) = 0;
   /// Called when an attempt ends without a first event.
   virtual void dropped(RequestId request) = 0;
--- a/tests/requests_fakes.h
+++ b/tests/requests_fakes.h
@@ -38,7 +38,7 @@
   std::size_t liveFronts() const override { return fronts; }
 };
 
-/// Places on the first of `engines` engines that was not tried; refuses if there is none.
+/// Selects the first engine that was not tried; refuses if there is none left.
 struct FakePlacer final : Placer {
   int engines = 5;
   PlaceRefusal refusal{PlaceFault::kNoEngine, {}};
--- a/tests/requests_rules_test.cc
+++ b/tests/requests_rules_test.cc
@@ -10,7 +10,7 @@
 
 constexpr Duration kTick = milliseconds(50);
 constexpr Duration kLongestOverDeadline = milliseconds(250);
-constexpr Duration kClientWaits = seconds(9);  // as set by FakeFront::arrived
+constexpr Duration kClientWaits = seconds(9);  // as set in the requests of the test doubles
 
 /// What an outside observer has seen of one request.
 struct Seen {
