--- a/src/requests/events.h
+++ b/src/requests/events.h
@@ -44,7 +44,7 @@
   std::string path;                          // without the query
   std::string key;                           // empty if none was sent
   std::optional<Duration> timeLeft;          // how long the client waits
-  std::optional<std::uint64_t> resumeAfter;  // the client already has all events up to this id
+  std::optional<std::uint64_t> resumeAfter;  // the client has all events up to it
   ModelName model;
   std::int64_t tokensIn = 0, tokensOut = 0;
   std::vector<PartSize> parts;
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -49,7 +49,7 @@
   bool bytesPassed = false;   // part of the body was forwarded
   bool lengthPassed = false;  // the forwarded head gives the body's length
   bool slow = false;
-  std::optional<std::uint64_t> lastEvent;  // id of the last event forwarded to the client
+  std::optional<std::uint64_t> lastEvent;  // forwarded to the client
   std::uint64_t largestStep = 0;           // largest step seen between event ids
   std::optional<Duration> retryAfter;      // as last given by an engine
   MonotonicTime resumeAt = kForever;       // while suspended: the time of the next retry
@@ -137,7 +137,7 @@
   std::unordered_map<std::uint64_t, std::uint64_t> attempts;  // request id by attempt id
   std::set<std::pair<MonotonicTime, std::uint64_t>> dues;
   std::map<ServiceName, AttemptBudget> budgets;
-  std::map<EngineId, MonotonicTime> heardOf;  // last response from each engine to any request
+  std::map<EngineId, MonotonicTime> heardOf;  // to any request
   FrontCount fronts;
   MonotonicTime frontsSeen = kNever;
   MonotonicTime leavingSince = kForever;  // when draining began
--- a/src/requests/request_turns.cc
+++ b/src/requests/request_turns.cc
@@ -6,7 +6,8 @@
 namespace peppergate {
 namespace {
 
-/// Whether an error status counts as a failure of the engine. A 504 at a deadline or a 4xx doesn't.
+/// The outcome recorded for an engine whose response was not a success. A 5xx counts against the
+/// engine, but a 504 at a deadline or a 4xx doesn't.
 AttemptEnd blameOf(int status) {
   if (status >= 200 && status < 300) return AttemptEnd::kGarbled;
   return status >= 500 && status != 504 ? AttemptEnd::kBroken : AttemptEnd::kGood;
--- a/src/requests/router_node.h
+++ b/src/requests/router_node.h
@@ -73,7 +73,7 @@
   MonotonicTime nextTell_{}, nextTellUse_{}, drainSince_ = kForever;
   std::uint64_t relayTurn_ = 0;
   SpreadBroadcast relayed_{kRelayPortion};  // messages of routers in other zones
-  SpreadBroadcast toldUse_, told_;          // this router's own use, to all other routers
+  SpreadBroadcast toldUse_, told_;          // to all other routers
 };
 
 }  // namespace peppergate
--- a/tests/requests_turns_test.cc
+++ b/tests/requests_turns_test.cc
@@ -14,7 +14,8 @@
   Told told;
 };
 constexpr std::array<HeadRow, 26> kHeads{{
-    {"unsafe", 200, false, true, Told::kNothingYet},  // the head is forwarded with the first bytes
+    // The head of a success is forwarded with the first bytes.
+    {"unsafe", 200, false, true, Told::kNothingYet},
     {"unsafe", 200, false, false, Told::kRefused502},
     {"unsafe", 200, true, true, Told::kRefused502},
     {"unsafe", 302, false, false, Told::kPassed},
