--- a/tests/requests_ask_test.cc
+++ b/tests/requests_ask_test.cc
@@ -1,4 +1,5 @@
-// What a request meets before its first attempt: refusals at once, shares, what is sent.
+// Handling of a request before its first attempt: immediate rejections, the weighted choice of a
+// service, urgency, and the contents of the attempt.
 #include "requests/request_rules.h"
 #include "tests/requests_fakes.h"
 
@@ -36,9 +37,9 @@
 
 }  // namespace
 
-TEST_GROUP(RequestAsks){};
+TEST_GROUP(RequestAdmission){};
 
-TEST(RequestAsks, RefusalsAreTypedAndAtOnce) {
+TEST(RequestAdmission, RejectionsAreTypedAndImmediate) {
   for (const auto& row : kRefusals)
     for (auto host : kHosts) {
       FakeFront front;
@@ -55,7 +56,7 @@
     }
 }
 
-TEST(RequestAsks, TimesToComeBack) {
+TEST(RequestAdmission, RetryAfterIsTheForecastOrRandomAndBounded) {
   FakeFront front;
   front.facts.proofEnd = front.now;
   std::set<std::int64_t> seen;
@@ -73,7 +74,7 @@
   CHECK(*only<RefuseRequest>(front.ask("unsafe", 61)).retryAfter <= seconds(3));
 }
 
-TEST(RequestAsks, AnAttemptCarriesAllThatTheEngineNeeds) {
+TEST(RequestAdmission, AnAttemptCarriesAllThatTheEngineNeeds) {
   FakeFront front;
   front.facts.proofEnd = front.now + seconds(2);
   auto asked = FakeFront::arrived("resumed", 4);
@@ -99,7 +100,7 @@
   CHECK(!only<OpenAttempt>(front.ask("safe", 6)).stream);
 }
 
-TEST(RequestAsks, TheRoutesTimeoutBoundsTheTimeLeft) {
+TEST(RequestAdmission, TheRoutesTimeoutBoundsTheTimeLeft) {
   FakeFront front;
   front.facts.byHost["safe"].timeout = seconds(4);
   CHECK(only<OpenAttempt>(front.ask("safe", 1)).timeLeft == seconds(4));
@@ -108,7 +109,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).timeLeft == seconds(4));
 }
 
-TEST(RequestAsks, OpenRoutesNeedNoKeyAndNameNoTenant) {
+TEST(RequestAdmission, OpenRoutesNeedNoKeyAndHaveNoTenant) {
   FakeFront front;
   front.facts.byHost["safe"].open = true;
   CHECK(only<OpenAttempt>(front.ask("safe", 1)).tenant.value.empty());
@@ -118,7 +119,7 @@
   CHECK(only<OpenAttempt>(front.ask(std::move(asked))).tenant.value.empty());
 }
 
-TEST(RequestAsks, SharesComeOutAndEachClientIdKeepsItsService) {
+TEST(RequestAdmission, ServicesAreChosenByWeightAndEachClientIdKeepsItsService) {
   Route route = routeOf(RouteKind::kSafe);
   route.services = {{ServiceName{"a"}, 90}, {ServiceName{"none"}, 0}, {ServiceName{"b"}, 10}};
   int toB = 0;
@@ -134,7 +135,7 @@
   CHECK(chooseService(route, "id") == nullptr);
 }
 
-TEST(RequestAsks, UrgencyIsTheTenantsFirstThenTheRoutes) {
+TEST(RequestAdmission, UrgencyRanksByTenantFirstAndRouteSecond) {
   FleetConfig config;
   for (int urgency : {0, 2, 7}) {
     std::string name = "t" + std::to_string(urgency);
@@ -158,7 +159,7 @@
   CHECK_EQUAL(9, table.of(7, 9));
 }
 
-TEST(RequestAsks, UrgencyFollowsTheConfigurationInForce) {
+TEST(RequestAdmission, UrgencyFollowsTheCurrentConfiguration) {
   FakeFront front;
   CHECK_EQUAL(0, only<OpenAttempt>(front.ask("safe", 1)).urgency);
   front.facts.fleet.tenants[{"gold"}] = TenantConfig{{"gold"}, 0, false};
@@ -166,7 +167,7 @@
   CHECK_EQUAL(1, only<OpenAttempt>(front.ask("safe", 2)).urgency);
 }
 
-TEST(RequestAsks, AnIdUnderWayIsNotTakenTwice) {
+TEST(RequestAdmission, ARequestIdInProgressIsNotAcceptedTwice) {
   FakeFront front;
   CHECK_EQUAL(1U, front.ask("unsafe", 1).size());
   CHECK_EQUAL(0U, front.ask("unsafe", 1).size());
