--- a/tests/engines_book_test.cc
+++ b/tests/engines_book_test.cc
@@ -1,4 +1,5 @@
-// What traffic shows of engines: who rests, how many at once, and how they come back.
+// Outlier detection and load estimates of the engine registry: which engines are ejected, how many
+// at once, and how they return.
 #include "engines/engine_book.h"
 
 #include <algorithm>
@@ -43,7 +44,7 @@
   EngineBook book{options};
 };
 
-/// Events at one engine, "e100" of six, and whether it is used at some time after them.
+/// Ends of attempts at one engine, "e100" of six, and whether it is usable at a time after them.
 struct Ended {
   AttemptEnd how;
   double when;
@@ -59,34 +60,46 @@
 
 TEST_GROUP(EnginesBook){};
 
-TEST(EnginesBook, RestsAsTrafficShows) {
+TEST(EnginesBook, EjectsEnginesByTheOutcomeOfAttempts) {
   using enum AttemptEnd;
   const std::vector<Row> rows{
-      {"nothing seen", {}, 1, true},
-      {"one unreachable", {{kUnreachable, 1}}, 1.2, false},
-      {"back after 0.3 s", {{kUnreachable, 1}}, 1.35, true},
-      {"twice unreachable rests 0.6 s", {{kUnreachable, 1}, {kUnreachable, 1.4}}, 1.9, false},
-      {"and is back", {{kUnreachable, 1}, {kUnreachable, 1.4}}, 2.05, true},
-      {"a good one clears", {{kUnreachable, 1}, {kGood, 1.4}, {kUnreachable, 1.5}}, 1.85, true},
-      {"many at once are one",
+      {"no attempts", {}, 1, true},
+      {"one connection failure ejects", {{kUnreachable, 1}}, 1.2, false},
+      {"usable again after 0.3 s", {{kUnreachable, 1}}, 1.35, true},
+      {"a second connection failure ejects for 0.6 s",
+       {{kUnreachable, 1}, {kUnreachable, 1.4}},
+       1.9,
+       false},
+      {"usable again after the second ejection",
+       {{kUnreachable, 1}, {kUnreachable, 1.4}},
+       2.05,
+       true},
+      {"a success resets the ejection time",
+       {{kUnreachable, 1}, {kGood, 1.4}, {kUnreachable, 1.5}},
+       1.85,
+       true},
+      {"simultaneous failures count once",
        {{kUnreachable, 1}, {kUnreachable, 1.01}, {kUnreachable, 1.02}},
        1.35,
        true},
-      {"one broken", {{kBroken, 1}}, 1.01, true},
-      {"two in a row", {{kBroken, 1}, {kGarbled, 1.5}}, 1.6, false},
-      {"two in a row, back", {{kBroken, 1}, {kSilent, 1.5}}, 2.05, true},
-      {"a good one between", {{kBroken, 1}, {kGood, 1.2}, {kBroken, 1.5}}, 1.6, true},
-      {"too far apart", {{kBroken, 1}, {kBroken, 6.5}}, 6.6, true},
-      {"back and broken again rests 1 s",
+      {"one broken response does not eject", {{kBroken, 1}}, 1.01, true},
+      {"two consecutive failures eject", {{kBroken, 1}, {kGarbled, 1.5}}, 1.6, false},
+      {"usable again after two consecutive failures", {{kBroken, 1}, {kSilent, 1.5}}, 2.05, true},
+      {"a success between two failures", {{kBroken, 1}, {kGood, 1.2}, {kBroken, 1.5}}, 1.6, true},
+      {"two failures too far apart", {{kBroken, 1}, {kBroken, 6.5}}, 6.6, true},
+      {"a failure after the return ejects for 1 s",
        {{kBroken, 1}, {kBroken, 1.1}, {kBroken, 1.7}},
        2.6,
        false},
-      {"and then is back", {{kBroken, 1}, {kBroken, 1.1}, {kBroken, 1.7}}, 2.75, true},
-      {"full rests shortly", {{kFull, 1}}, 1.04, false},
-      {"full is back soon", {{kFull, 1}}, 1.16, true},
-      {"full is no strike", {{kBroken, 1}, {kFull, 1.1}, {kFull, 1.3}, {kFull, 1.5}}, 1.7, true},
-      {"clients that go away blame nobody", {{kClientGone, 1}, {kClientGone, 1}}, 1.01, true},
-      {"another engine has the address", {{kOtherEngine, 1}}, 4, false},
+      {"usable again after 1 s", {{kBroken, 1}, {kBroken, 1.1}, {kBroken, 1.7}}, 2.75, true},
+      {"a full engine is skipped briefly", {{kFull, 1}}, 1.04, false},
+      {"a full engine is usable again soon", {{kFull, 1}}, 1.16, true},
+      {"a full engine counts as no failure",
+       {{kBroken, 1}, {kFull, 1.1}, {kFull, 1.3}, {kFull, 1.5}},
+       1.7,
+       true},
+      {"client disconnects count as no failure", {{kClientGone, 1}, {kClientGone, 1}}, 1.01, true},
+      {"another engine at the address", {{kOtherEngine, 1}}, 4, false},
   };
   for (const auto& row : rows) {
     Scene scene;
@@ -95,7 +108,7 @@
   }
 }
 
-TEST(EnginesBook, RestsGrowToFiveSecondsAtMost) {
+TEST(EnginesBook, EjectionTimesGrowToAtMostFiveSeconds) {
   for (AttemptEnd how : {AttemptEnd::kUnreachable, AttemptEnd::kBroken}) {
     Scene scene;
     double when = 1;
@@ -110,7 +123,7 @@
   }
 }
 
-TEST(EnginesBook, ReturnsWithOneRequestUntilItDoesWell) {
+TEST(EnginesBook, AnEjectedEngineReturnsWithOneTrialRequest) {
   struct Turn {
     const char* name;
     void (*then)(EngineBook&);
@@ -118,10 +131,10 @@
   };
   const EngineId id{"e100"};
   constexpr std::array<Turn, 4> kTurns{{
-      {"under way", [](EngineBook&) {}, false},
+      {"in progress", [](EngineBook&) {}, false},
       {"first event", [](EngineBook& book) { book.firstEvent({"e100"}, 10, milliseconds(50)); },
        true},
-      {"whole",
+      {"complete",
        [](EngineBook& book) { book.ended({"e100"}, AttemptEnd::kGood, 10, true, at(1.6)); }, true},
       {"broken",
        [](EngineBook& book) { book.ended({"e100"}, AttemptEnd::kBroken, 10, false, at(1.6)); },
@@ -134,11 +147,11 @@
     CHECK(scene.up("e100", 1.55));
     scene.book.tick(at(1.55));
     scene.book.sent(id, 10);
-    CHECK(!scene.up("e100", 1.56));  // no herd
+    CHECK(!scene.up("e100", 1.56));  // only one request at a time
     turn.then(scene.book);
     CHECK_TEXT(scene.up("e100", 1.65) == turn.up, turn.name);
   }
-  Scene scene;  // one that is never heard of again gives way to another
+  Scene scene;  // a trial without any outcome allows another one after a while
   scene.end("e100", AttemptEnd::kUnreachable, 1);
   scene.book.tick(at(1.5));
   scene.book.sent(id, 10);
@@ -146,7 +159,7 @@
   CHECK(scene.up("e100", 3.6));
 }
 
-TEST(EnginesBook, StrikesTakeOutHalfAtMost) {
+TEST(EnginesBook, RequestFailuresEjectAtMostHalfOfTheEngines) {
   struct Case {
     int engines;
     std::size_t up;
@@ -160,19 +173,19 @@
   }
 }
 
-TEST(EnginesBook, TheUnreachableMayAllRestButForOne) {
+TEST(EnginesBook, ConnectionFailuresEjectAllEnginesButOne) {
   Scene scene(4);
   for (int index = 0; index < 4; ++index)
     scene.end("e" + std::to_string(100 + index), AttemptEnd::kUnreachable, 1 + 0.01 * index);
   LONGS_EQUAL(1, scene.upCount(1.05));
-  CHECK(scene.up("e100", 1.05));  // failed the longest ago
+  CHECK(scene.up("e100", 1.05));  // the least recently failed engine
   scene.end("e100", AttemptEnd::kUnreachable, 1.06);
   LONGS_EQUAL(1, scene.upCount(1.07));
   CHECK(scene.up("e101", 1.07));
   LONGS_EQUAL(4, scene.upCount(1.4));
 }
 
-TEST(EnginesBook, AFullServiceHasNoLastResort) {
+TEST(EnginesBook, FullEnginesAreNotUsedAsALastResort) {
   Scene scene(2);
   scene.end("e100", AttemptEnd::kFull, 1);
   scene.end("e101", AttemptEnd::kFull, 1);
@@ -180,7 +193,7 @@
   LONGS_EQUAL(2, scene.upCount(1.16));
 }
 
-TEST(EnginesBook, NoFrontEjectsAloneForOthers) {
+TEST(EnginesBook, OneRoutersReportsAloneDoNotEject) {
   const Address first{"f1"}, second{"f2"};
   const EngineTrouble note{{"e100"}, 3, 0, true};
   Scene alone;
@@ -199,7 +212,7 @@
   own.end("e100", AttemptEnd::kBroken, 1);
   own.book.hear(first, note, at(1.2));
   CHECK(!own.up("e100", 1.3));
-  Scene reachable;  // failures of requests at an engine that is reached are judged alike
+  Scene reachable;  // request failures at a reachable engine follow the same rule
   for (int turn = 0; turn < 5; ++turn)
     reachable.book.hear(first, {{"e100"}, 3, 0, false}, at(1 + 0.1 * turn));
   CHECK(reachable.up("e100", 1.6));
@@ -207,7 +220,7 @@
   CHECK(!reachable.up("e100", 1.7));
 }
 
-TEST(EnginesBook, TheListDecides) {
+TEST(EnginesBook, DrainingLoadingAndUnlistedEnginesAreNotUsed) {
   Scene scene(3);
   auto engines = some(3);
   engines[0].draining = true;
@@ -221,21 +234,21 @@
   scene.book.loading({{"e101"}}, at(1));
   CHECK(!scene.up("e101", 1));
   scene.book.take(engines, {3}, at(1.1));
-  CHECK(!scene.up("e101", 1.1));  // until it is said otherwise
+  CHECK(!scene.up("e101", 1.1));  // until the loading set changes
   scene.book.loading({}, at(1.2));
   CHECK(scene.up("e101", 1.2));
 }
 
-TEST(EnginesBook, AnEngineWhoseAddressIsAnothersComesBackWithALaterList) {
+TEST(EnginesBook, AnEngineWithAReusedAddressReturnsWithALaterList) {
   Scene scene(3);
   scene.end("e100", AttemptEnd::kOtherEngine, 1);
-  scene.book.take(some(3), {2}, at(1.2));  // may be as old as the mistake
+  scene.book.take(some(3), {2}, at(1.2));  // may be as outdated as the address
   CHECK(!scene.up("e100", 1.3));
   scene.book.take(some(3), {3}, at(2.5));
   CHECK(scene.up("e100", 2.6));
 }
 
-TEST(EnginesBook, LoadIsWhatWasToldAgedByWhatWasSent) {
+TEST(EnginesBook, ReportedLoadIsCorrectedByAttemptsAndAges) {
   Scene scene;
   const EngineId id{"e100"};
   const EngineState& engine = *scene.book.find(id);
@@ -252,13 +265,13 @@
   DOUBLES_EQUAL(1, scene.book.running(engine, at(4)), 0.01);
 }
 
-TEST(EnginesBook, OthersNotesAddAndAreForgotten) {
+TEST(EnginesBook, LoadReportsOfOtherRoutersAddUpAndExpire) {
   Scene scene;
   const EngineState& engine = *scene.book.find({"e100"});
   scene.book.hear(EngineUse{{7}, {{"e100"}, {"e101"}}, {4, 1}, {2000, 0}}, at(1));
   scene.book.hear(EngineUse{{8}, {{"e100"}}, {1}, {300}}, at(1.5));
   DOUBLES_EQUAL(5, scene.book.running(engine, at(2)), 0.01);
-  // Noted at 1 s and at 1.5 s, and taken to be read on since then.
+  // Reported at 1 s and at 1.5 s; the reported prefill decays from then on.
   scene.book.sent({"e105"}, 100);
   scene.book.firstEvent({"e105"}, 100, seconds(0.5));
   DOUBLES_EQUAL(2000 * std::exp(-1.0) + 300, scene.book.queueTokens(engine, at(1.5)), 0.01);
@@ -272,11 +285,11 @@
   DOUBLES_EQUAL(2, scene.book.running(engine, at(3.7)), 0.01);
   scene.book.tick(at(4.2));
   DOUBLES_EQUAL(0, scene.book.running(engine, at(4.2)), 0.01);
-  scene.book.hear(EngineUse{{7}, {{"e100"}, {"e101"}}, {1}, {}}, at(5));  // not of one length
+  scene.book.hear(EngineUse{{7}, {{"e100"}, {"e101"}}, {1}, {}}, at(5));  // unequal lengths
   DOUBLES_EQUAL(0, scene.book.running(engine, at(5)), 0.01);
 }
 
-TEST(EnginesBook, OwnRequestsWaitInFullUntilTheirFirstEvents) {
+TEST(EnginesBook, OwnPrefillCountsUntilTheFirstEvent) {
   Scene scene;
   const EngineState& engine = *scene.book.find({"e100"});
   scene.book.sent({"e100"}, 700);
@@ -285,19 +298,19 @@
   DOUBLES_EQUAL(0, scene.book.queueTokens(engine, at(5)), 0.01);
 }
 
-TEST(EnginesBook, FailuresThatTwoRoutersSawRestAnEngine) {
+TEST(EnginesBook, FailuresReportedByTwoRoutersEjectAnEngine) {
   Scene scene;
   const EngineTrouble failed{{"e100"}, 1, 4, false};
   scene.book.hear({"router1"}, failed, at(1));
   CHECK(scene.up("e100", 1));
-  scene.book.hear({"router1"}, failed, at(1.5));  // the same router again
+  scene.book.hear({"router1"}, failed, at(1.5));  // a repeat by the same router
   CHECK(scene.up("e100", 1.5));
   scene.book.hear({"router2"}, failed, at(2));
   CHECK(!scene.up("e100", 2) && !scene.up("e100", 3.9));
   CHECK(scene.up("e100", 4.1));
 }
 
-TEST(EnginesBook, OneNoteOfFailuresCountsBesideAnOwnOne) {
+TEST(EnginesBook, OneReportAndOneOwnFailureEjectAnEngine) {
   Scene scene;
   scene.end("e100", AttemptEnd::kBroken, 1);
   CHECK(scene.up("e100", 1));
@@ -305,7 +318,7 @@
   CHECK(!scene.up("e100", 1.5));
 }
 
-TEST(EnginesBook, SilenceIsToldToNobody) {
+TEST(EnginesBook, TimeoutsAreNotReportedToOtherRouters) {
   Scene scene;
   scene.end("e100", AttemptEnd::kSilent, 1);
   CHECK(scene.book.troubles().empty());
@@ -315,22 +328,22 @@
   LONGS_EQUAL(1, troubles[0].failures);
 }
 
-TEST(EnginesBook, NotesOfAnswersAloneAccuseNobody) {
+TEST(EnginesBook, ReportsWithoutFailuresDoNotEject) {
   Scene scene;
   for (const char* from : {"router1", "router2", "router3"})
     scene.book.hear({from}, EngineTrouble{{"e100"}, 0, 9, false}, at(1));
   CHECK(scene.up("e100", 1));
 }
 
-TEST(EnginesBook, NotesAreGivenOnChangeAndNowAndThen) {
+TEST(EnginesBook, ReportsAreSentOnChangeAndRepeated) {
   Scene scene;
   CHECK(!scene.book.use({1}));
   scene.book.sent({"e100"}, 50);
   CHECK(scene.book.use({1}).has_value());
   CHECK(!scene.book.use({1}));
-  CHECK(scene.book.use({1}).has_value());  // else others forget it
+  CHECK(scene.book.use({1}).has_value());  // repeated before others drop it
   scene.book.ended({"e100"}, AttemptEnd::kGood, 50, false, at(1));
-  CHECK(scene.book.use({1}).has_value());  // that nothing is left
+  CHECK(scene.book.use({1}).has_value());  // reports that nothing is left
   for (int turn = 0; turn < 5; ++turn) CHECK(!scene.book.use({1}));
   scene.end("e101", AttemptEnd::kUnreachable, 1);
   auto troubles = scene.book.troubles();
@@ -339,16 +352,16 @@
   CHECK(scene.book.troubles().empty());
 }
 
-TEST(EnginesBook, VersionsOnlyRise) {
+TEST(EnginesBook, WeightsVersionsNeverDecrease) {
   Scene scene;
   scene.book.toldVersion({"e100"}, {"m"}, {3});
   scene.book.toldVersion({"e100"}, {"m"}, {2});
   CHECK(scene.book.find({"e100"})->models.at({"m"}) == WeightsVersion{3});
-  scene.book.take(some(6), {2}, at(1));  // the list lags
+  scene.book.take(some(6), {2}, at(1));  // the list is outdated
   CHECK(scene.book.find({"e100"})->models.at({"m"}) == WeightsVersion{3});
 }
 
-TEST(EnginesBook, EnginesThatAreGoneAreNoTrouble) {
+TEST(EnginesBook, RemovedEnginesAreIgnored) {
   Scene scene;
   scene.book.sent({"e100"}, 10);
   scene.book.take({}, {2}, at(1));
--- a/tests/engines_lister_test.cc
+++ b/tests/engines_lister_test.cc
@@ -1,4 +1,4 @@
-// The engine list over a small simulated fleet: how old it gets, what it costs, who steps in.
+// Engine discovery in a small simulated fleet: staleness, cost and failover of the polling node.
 #include "engines/lister.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   return engine;
 }
 
-/// One daemon with its lister; a front also has a book.
+/// One daemon with its engine discovery and its engine registry.
 struct Daemon {
   Daemon(const Options& options, MemberRecord record, std::uint64_t seed)
       : random(seed),
@@ -132,7 +132,7 @@
       now = now + milliseconds(10);
     }
   }
-  /// Whether any front would still send there. Example: `sentTo("e1")`.
+  /// Whether any router would still send requests to an engine.
   bool sentTo(const std::string& id) const {
     return std::ranges::any_of(daemons, [&](const auto& daemon) {
       if (daemon->membership.self().role != Role::kFront) return false;
@@ -168,24 +168,24 @@
 
 TEST_GROUP(EnginesLister){};
 
-TEST(EnginesLister, DrainsAreKnownAtAllFrontsWithinThreeSeconds) {
+TEST(EnginesLister, DrainsReachAllRoutersWithinThreeSeconds) {
   struct Row {
     const char* name;
     void (*trouble)(Fleet&);
     double within;
   };
   constexpr std::array<Row, 7> kRows{{
-      {"calm", [](Fleet&) {}, 0.7},
-      {"a fifth of the messages is lost", [](Fleet& fleet) { fleet.loss = 0.2; }, 2.2},
-      {"lister gone", [](Fleet& fleet) { fleet.daemons[0]->cutOff = true; }, 2.7},
-      {"no lister", [](Fleet& fleet) { fleet.daemons[0]->inCharge = false; }, 2.7},
-      {"lister cut from the platform",
+      {"no fault", [](Fleet&) {}, 0.7},
+      {"a fifth of the messages lost", [](Fleet& fleet) { fleet.loss = 0.2; }, 2.2},
+      {"polling node partitioned", [](Fleet& fleet) { fleet.daemons[0]->cutOff = true; }, 2.7},
+      {"no polling node", [](Fleet& fleet) { fleet.daemons[0]->inCharge = false; }, 2.7},
+      {"polling node without the platform",
        [](Fleet& fleet) { fleet.daemons[0]->cutFromPlatform = true; }, 2.7},
-      {"one front cut off", [](Fleet& fleet) { fleet.daemons[5]->cutOff = true; }, 2.7},
-      {"another primary", [](Fleet& fleet) { fleet.lead(1, 2); }, 0.7},
+      {"one router partitioned", [](Fleet& fleet) { fleet.daemons[5]->cutOff = true; }, 2.7},
+      {"change of leader", [](Fleet& fleet) { fleet.lead(1, 2); }, 0.7},
   }};
   for (const auto& row : kRows) {
-    for (int shift = 0; shift < 10; ++shift) {  // anywhere between two lists
+    for (int shift = 0; shift < 10; ++shift) {  // any time between two polls
       Fleet fleet(3, 9, Fleet::fast());
       fleet.run(4 + 0.05 * shift);
       CHECK_TEXT(fleet.allHave(6), row.name);
@@ -201,7 +201,7 @@
   }
 }
 
-TEST(EnginesLister, CallsStayUnderAThirdOfTheRate) {
+TEST(EnginesLister, CallsStayBelowAThirdOfTheRateLimit) {
   struct Row {
     std::size_t fronts, pageSize;
     double rate;
@@ -220,7 +220,7 @@
     fleet.pageSize = row.pageSize;
     fleet.run(6);
     if (!row.lister) fleet.daemons[0]->inCharge = false;
-    fleet.run(12);  // the first own lists are behind
+    fleet.run(12);  // after the first polls by the routers themselves
     std::size_t before = fleet.calls;
     fleet.run(32);
     double each = static_cast<double>(fleet.calls - before) / 20;
@@ -229,12 +229,12 @@
   }
 }
 
-TEST(EnginesLister, AnswersOfTooOftenSlowItDown) {
+TEST(EnginesLister, RateLimitRejectionsCauseABackoff) {
   Options options;
   options.listRate = 47;
   Fleet fleet(3, 2, options);
   fleet.run(2);
-  fleet.options.listRate = 0;  // the platform takes none
+  fleet.options.listRate = 0;  // the platform rejects all calls
   std::size_t before = fleet.calls;
   fleet.daemons[1]->cutOff = fleet.daemons[2]->cutOff = true;
   fleet.run(22);
@@ -245,7 +245,7 @@
   CHECK(fleet.daemons[3]->lister.engines().size() == 5);
 }
 
-TEST(EnginesLister, AnUnchangedListCostsOnlyProofs) {
+TEST(EnginesLister, AnUnchangedListCausesOnlyConfirmations) {
   Fleet fleet(3, 9, Fleet::fast());
   fleet.run(5);
   ListVersion version = fleet.daemons[4]->lister.version();
@@ -253,12 +253,12 @@
   fleet.platform[0].warmupLeft = milliseconds(0);
   fleet.run(15);
   CHECK(fleet.daemons[4]->lister.version() == version);
-  CHECK(fleet.bytes - bytes == (fleet.stateUpdatesSent - news) * 30);  // no list in any
+  CHECK(fleet.bytes - bytes == (fleet.stateUpdatesSent - news) * 30);  // none contains a list
   CHECK(fleet.stateUpdatesSent - news <= 11 * 2 * 10 + 22);
   CHECK(fleet.now - fleet.daemons[4]->lister.seen() < seconds(0.7));
 }
 
-TEST(EnginesLister, ACountingWarmUpIsNoChangeButItsEndIs) {
+TEST(EnginesLister, AWarmUpCountdownIsNoChangeButItsEndIs) {
   Fleet fleet(1, 1, Fleet::fast());
   fleet.platform[0].warmupLeft = seconds(3);
   fleet.run(2);
@@ -271,7 +271,7 @@
   CHECK(fleet.daemons[1]->lister.version() != version);
 }
 
-TEST(EnginesLister, FrontsReturnToTheListersWord) {
+TEST(EnginesLister, RoutersReturnToTheDistributedList) {
   Fleet fleet(3, 4, Fleet::fast());
   fleet.run(4);
   fleet.daemons[0]->inCharge = false;
@@ -280,7 +280,7 @@
   Daemon& front = *fleet.daemons[5];
   CHECK(front.lister.onItsOwn(fleet.now));
   LONGS_EQUAL(5, front.lister.engines().size());
-  LONGS_EQUAL(6, fleet.daemons[1]->lister.engines().size());  // what a front asked stays its own
+  LONGS_EQUAL(6, fleet.daemons[1]->lister.engines().size());  // own lists aren't distributed
   fleet.lead(2, 2);
   fleet.platform.pop_back();
   fleet.run(11);
@@ -290,11 +290,11 @@
     CHECK(daemon->lister.version() == fleet.daemons[2]->lister.version());
 }
 
-TEST(EnginesLister, TwoListersOfOneTermComeToOneList) {
+TEST(EnginesLister, TwoPollingNodesOfOneTermConverge) {
   Fleet fleet(3, 4, Fleet::fast());
   fleet.run(3);
   for (std::size_t index : {0U, 3U, 4U}) fleet.daemons[index]->cutOff = true;
-  fleet.daemons[1]->inCharge = true;  // vouches for the other part, under the same view
+  fleet.daemons[1]->inCharge = true;  // read-only leader of the other partition, in the same view
   fleet.platform[0].draining = true;
   fleet.run(5);
   fleet.platform[1].draining = true;
@@ -307,7 +307,7 @@
   CHECK(!fleet.sentTo("e0") && !fleet.sentTo("e1") && fleet.sentTo("e2"));
 }
 
-TEST(EnginesLister, AWokenListerOfAnOlderTermChangesNothing) {
+TEST(EnginesLister, UpdatesOfAnOlderTermAreIgnored) {
   Fleet fleet(3, 3, Fleet::fast());
   fleet.run(3);
   Daemon& front = *fleet.daemons[4];
@@ -323,7 +323,7 @@
   CHECK(!fleet.sentTo("e2"));
 }
 
-TEST(EnginesLister, LoadingEnginesAreToldAtOnceAndEndWithoutTheirHolder) {
+TEST(EnginesLister, LoadingEnginesAreSentAtOnceAndExpireWithoutTheirLeader) {
   Fleet fleet(2, 3, Fleet::fast());
   fleet.run(3.2);
   Daemon& primary = *fleet.daemons[0];
@@ -331,14 +331,14 @@
   fleet.run(3.25);
   CHECK(!fleet.sentTo("e1") && !fleet.sentTo("e4") && fleet.sentTo("e2"));
   fleet.run(4);
-  fleet.lead(1, 2);  // nobody says more of them
+  fleet.lead(1, 2);  // the new leader doesn't repeat them
   fleet.run(6);
   CHECK(!fleet.sentTo("e1"));
   fleet.run(12);
   CHECK(fleet.sentTo("e1") && fleet.sentTo("e4"));
 }
 
-TEST(EnginesLister, FrontsWithoutAnyListerUseLoadingEnginesAgain) {
+TEST(EnginesLister, LoadingEnginesExpireAtRoutersWithoutUpdates) {
   Fleet fleet(2, 3, Fleet::fast());
   fleet.run(3.2);
   Daemon& primary = *fleet.daemons[0];
@@ -352,7 +352,7 @@
   CHECK(fleet.sentTo("e1"));
 }
 
-TEST(EnginesLister, TheNewerOfTwoWordsCounts) {
+TEST(EnginesLister, TheNewerOfTwoListsApplies) {
   Fleet fleet(1, 1, Fleet::fast());
   fleet.run(3);
   fleet.daemons[0]->inCharge = false;
@@ -360,7 +360,7 @@
   fleet.run(6);
   Daemon& front = *fleet.daemons[1];
   CHECK(!fleet.sentTo("e0"));
-  // A list that was asked for before this front's own doesn't take the drain back.
+  // A list polled before this router's own doesn't revert the drain.
   auto old = fleet.platform;
   old[0].draining = false;
   DiscoveredEnginesUpdate news{{2ULL << 32 | 256}, seconds(3), wholeText({old, {}})};
@@ -371,7 +371,7 @@
   CHECK(!front.lister.engines()[0].draining);
 }
 
-TEST(EnginesLister, AnOwnAnswerThatComesAfterTheListersWordIsDropped) {
+TEST(EnginesLister, AnOwnListOlderThanAnUpdateIsDropped) {
   Fleet fleet(1, 1, Fleet::fast());
   fleet.run(3);
   Daemon& front = *fleet.daemons[1];
@@ -394,7 +394,7 @@
   CHECK(front.lister.version() == news.version);
 }
 
-TEST(EnginesLister, ANewLifeAtAnAddressTakesThePlaceOfTheOld) {
+TEST(EnginesLister, ARestartedEngineReplacesItsPredecessorAtTheAddress) {
   Fleet fleet(1, 2, Fleet::fast());
   fleet.run(3);
   fleet.platform[2] = engineNamed("e9", "a2");
@@ -402,7 +402,7 @@
   CHECK(!fleet.sentTo("e2") && fleet.sentTo("e9"));
 }
 
-TEST(EnginesLister, TextsAreReadAsWrittenAndBadOnesLeftAlone) {
+TEST(EnginesLister, EncodingsRoundTripAndInvalidOnesAreRejected) {
   Roster before{{engineNamed("a", "1"), engineNamed("b", "2"), engineNamed("c", "3")}, {{"b"}}};
   Roster after = before;
   after.engines.erase(after.engines.begin());
--- a/tests/engines_rollout_test.cc
+++ b/tests/engines_rollout_test.cc
@@ -1,11 +1,11 @@
-// New weights over simulated engines: how long, how many at once, and what failures do to it.
+// Weights rollouts over simulated engines: duration, concurrency and the handling of failures.
 #include "tests/engines_world.h"
 
 using namespace peppergate;
 
 TEST_GROUP(EnginesRollout){};
 
-TEST(EnginesRollout, EighteenEnginesThreeAtOnceUnderNineSeconds) {
+TEST(EnginesRollout, EighteenEnginesLoadThreeAtOnceWithinNineSeconds) {
   EnginesWorld world(18);
   world.run(12);
   CHECK(world.all(2));
@@ -16,23 +16,23 @@
   for (const auto& [id, engine] : world.engines) CHECK(engine.modes[0] == LoadMode::kWait);
 }
 
-TEST(EnginesRollout, ReportsMayLag) {
+TEST(EnginesRollout, DelayedReportsCauseNoDuplicateOrders) {
   EnginesWorld world(18);
   world.reportsLag = milliseconds(300);
   world.run(12);
   CHECK(world.all(2));
   CHECK(world.rollout.done());
-  LONGS_EQUAL(18, world.orders);  // none was given twice by an old report
+  LONGS_EQUAL(18, world.orders);  // an outdated report causes no duplicate order
   LONGS_EQUAL(3, world.mostAtOnce);
 }
 
-TEST(EnginesRollout, MoreAtOnceWhereTheTimeIsShort) {
+TEST(EnginesRollout, ConcurrencyGrowsWhenTimeIsShort) {
   struct Row {
     int engines;
     double load, within;
-    double slowing;           // 0: more at once slow nobody; 1: no more get through than by three
-    std::size_t least, most;  // at once
-    double end;               // by when all are through
+    double slowing;           // 0: loads don't slow each other; 1: throughput is capped at three
+    std::size_t least, most;  // concurrent loads
+    double end;               // time by which all have loaded
   };
   constexpr std::array<Row, 6> kRows{{{18, 1.1, 12, 1, 3, 3, 9},
                                       {18, 1.8, 15, 1, 3, 4, 15},
@@ -50,17 +50,17 @@
     world.rollout.reload(world.options);
     world.run(40);
     CHECK(world.all(2));
-    name += std::to_string(world.mostAtOnce) + " at once, " +
+    name += std::to_string(world.mostAtOnce) + " concurrent, " +
             std::to_string(inSeconds(world.now - at(0)));
     CHECK_TEXT(world.mostAtOnce >= row.least && world.mostAtOnce <= row.most, name.c_str());
     CHECK_TEXT(world.now < at(row.end), name.c_str());
-    // An engine with an order starts nothing on its old weights.
+    // An ordered engine starts no request on its old weights.
     for (const auto& [id, engine] : world.engines)
       CHECK_TEXT(engine.lastOrder < at(row.within), name.c_str());
   }
 }
 
-TEST(EnginesRollout, TheFrontsHearOfAnEngineBeforeItsOrder) {
+TEST(EnginesRollout, RoutersAreNotifiedBeforeAnEngineIsOrdered) {
   EnginesWorld world(3);
   world.stopWhenDone = false;
   MonotonicTime announced = kNever, ordered = kNever;
@@ -70,10 +70,10 @@
     if (world.orders > 0) ordered = world.now;
   }
   CHECK(ordered - announced >= milliseconds(100));
-  LONGS_EQUAL(1, world.mostAtOnce);  // a third of three
+  LONGS_EQUAL(1, world.mostAtOnce);  // a third of the three engines
 }
 
-TEST(EnginesRollout, NeighboursInTheOrderAreOfOtherZones) {
+TEST(EnginesRollout, ConcurrentLoadsAreSpreadOverZones) {
   EnginesWorld world(16);
   world.options.loadsAtOnce = 4;
   world.rollout.reload(world.options);
@@ -87,13 +87,13 @@
   CHECK(world.all(2));
 }
 
-TEST(EnginesRollout, LostAnswersAreFollowedByReportsNotByBlindOrders) {
+TEST(EnginesRollout, ALostAnswerIsResolvedByAReportBeforeAnotherOrder) {
   EnginesWorld world(6);
   FakeEngine& quiet = world.engines.at({"e100"});
   quiet.silent = true;
   world.stopWhenDone = false;
   world.run(6);
-  LONGS_EQUAL(1, quiet.calls);  // taken once, unknown here
+  LONGS_EQUAL(1, quiet.calls);  // accepted once, though its answer was lost
   LONGS_EQUAL(1, quiet.modes.size());
   CHECK(!world.rollout.done());
   quiet.silent = false;
@@ -103,7 +103,7 @@
   LONGS_EQUAL(1, quiet.calls);
 }
 
-TEST(EnginesRollout, AnOrderThatNeverArrivedIsGivenAgain) {
+TEST(EnginesRollout, AnOrderThatNeverArrivedIsRetried) {
   EnginesWorld world(6);
   FakeEngine& deaf = world.engines.at({"e100"});
   deaf.deaf = true;
@@ -117,14 +117,14 @@
   LONGS_EQUAL(1, deaf.calls);
 }
 
-TEST(EnginesRollout, ASecondPrimaryWaitsALeaseAndFinishes) {
+TEST(EnginesRollout, ANewLeaderWaitsForTheLeaseAndCompletesTheRollout) {
   EnginesWorld world(18);
   world.run(4);
   CHECK(!world.rollout.done());
   int before = world.orders;
   MonotonicTime lastWrite = kNever;
   for (const auto& [id, engine] : world.engines) lastWrite = std::max(lastWrite, engine.lastOrder);
-  // The new primary heard the list with its loading engines as news.
+  // The new leader has received the list with its loading engines as an update.
   Lister secondLister(world.options, world.membership, world.random);
   Rollout second(world.options, secondLister);
   secondLister.hear(
@@ -147,13 +147,13 @@
   CHECK(world.leastGap >= world.options.orderLease);
 }
 
-// A leader that changes its view, as machines come and go, is the same holder under its own lease:
-// the roll-out goes on, and its time doesn't begin anew.
-TEST(EnginesRollout, ALeaderWhoseViewChangesGoesOn) {
+// A leader whose view changes because machines join or leave still holds its lease: the rollout
+// continues, and its grace time doesn't restart.
+TEST(EnginesRollout, AViewChangeOfTheSameLeaderContinuesTheRollout) {
   EnginesWorld world(18);
   for (std::uint64_t view = 2; view <= 6; ++view) {
     world.run(static_cast<double>(view) * 0.7);
-    world.leads = false;  // while the view is settled
+    world.leads = false;  // while the view change is in progress
     world.run(static_cast<double>(view) * 0.7 + 0.2);
     world.leads = true;
     world.epoch = {view};
@@ -162,16 +162,16 @@
   CHECK(world.all(2));
   CHECK(world.rollout.done());
   CHECK(world.now < at(11));
-  LONGS_EQUAL(18, world.orders);  // none was given twice
+  LONGS_EQUAL(18, world.orders);  // no duplicate orders
 }
 
-TEST(EnginesRollout, ALeaderAfterItsLeaseRanOutWaitsALease) {
+TEST(EnginesRollout, ALeaderWhoseLeaseExpiredWaitsForALease) {
   EnginesWorld world(18);
   world.run(4);
   int before = world.orders;
   world.leads = false;
   world.stopWhenDone = false;
-  world.run(5.2);  // its lease ran out 0.9 s after it led last
+  world.run(5.2);  // its lease expired 0.9 s after its last tick as the leader
   world.leads = true;
   world.epoch = {2};
   MonotonicTime began = world.now;
@@ -179,7 +179,7 @@
   CHECK(world.now - began >= world.options.orderLease);
 }
 
-TEST(EnginesRollout, InheritedLoadsAreReleasedOnceThrough) {
+TEST(EnginesRollout, InheritedLoadsAreReleasedWhenDone) {
   EnginesWorld world(6);
   FakeEngine& busy = world.engines.at({"e100"});
   busy.coming = {2};
@@ -190,7 +190,7 @@
   std::string text = wholeText({listed, {{"e100"}, {"e101"}}});
   world.lister.hear({"core:9"}, {{(1ULL << 32) | 256}, {}, text}, world.now, world.outbox);
   world.run(1.2);
-  LONGS_EQUAL(1, world.lister.loadingNow().size());  // e101 had no order: it serves again
+  LONGS_EQUAL(1, world.lister.loadingNow().size());  // e101 had no order: it takes requests again
   world.run(2.2);
   CHECK(world.lister.loadingNow().empty());
   LONGS_EQUAL(0, world.orders);
@@ -199,7 +199,7 @@
   LONGS_EQUAL(5, world.orders);
 }
 
-TEST(EnginesRollout, FencedMeansThatANewerPrimaryExists) {
+TEST(EnginesRollout, AFencedOrderStopsTheRollout) {
   EnginesWorld world(6);
   for (auto& [id, engine] : world.engines) engine.fence = 9;
   world.stopWhenDone = false;
@@ -208,12 +208,12 @@
   CHECK(world.lister.loadingNow().empty());
   CHECK(world.rollout.status(world.now)["fenced"].get<bool>());
   CHECK(world.all(1));
-  world.epoch = {10};  // it leads again, later
+  world.epoch = {10};  // leads again under a later epoch
   world.run(20);
   CHECK(world.all(2));
 }
 
-TEST(EnginesRollout, NoOrderWithoutAHold) {
+TEST(EnginesRollout, NoOrderWithoutALease) {
   EnginesWorld world(6);
   world.run(0.08);
   world.leads = false;
@@ -222,25 +222,25 @@
   LONGS_EQUAL(0, world.orders);
 }
 
-TEST(EnginesRollout, ReplacedEnginesAndLateOldOnesAreFound) {
+TEST(EnginesRollout, ReplacedAndLateEnginesAreLoaded) {
   EnginesWorld world(6);
   world.run(1);
   FakeEngine replaced = world.engines.at({"e105"});
   world.engines.erase({"e105"});
-  replaced.listed.id = {"e205"};  // same address, new life, old weights
+  replaced.listed.id = {"e205"};  // same address, restarted, old weights
   world.engines[replaced.listed.id] = replaced;
   world.run(12);
   CHECK(world.all(2));
   CHECK(world.rollout.done());
   world.now = at(30);
-  world.add("e300", 0);  // long after the bound
+  world.add("e300", 0);  // long after the deadline
   world.stopWhenDone = false;
   world.run(33);
   CHECK(world.all(2));
   CHECK(world.engines.at({"e300"}).modes[0] == LoadMode::kWait);
 }
 
-TEST(EnginesRollout, OtherEngineAtTheAddressWaitsForTheList) {
+TEST(EnginesRollout, AnotherEngineAtTheAddressIsRetriedSlowly) {
   EnginesWorld world(6);
   world.engines.at({"e100"}).forced = OrderOutcome::kOtherEngine;
   world.stopWhenDone = false;
@@ -251,7 +251,7 @@
   CHECK(world.rollout.done());
 }
 
-TEST(EnginesRollout, LongRequestsHoldUpNoOthers) {
+TEST(EnginesRollout, LongRequestsDoNotBlockOtherEngines) {
   EnginesWorld world(18);
   for (const auto* id : {"e100", "e101", "e102"}) world.engines.at({id}).runsUntil = at(9);
   world.run(14);
@@ -259,7 +259,7 @@
   CHECK(world.now < at(13));
 }
 
-TEST(EnginesRollout, WhatWasNotOrderedInTimeIsCutAtTheLast) {
+TEST(EnginesRollout, LastResortOrdersCutOffRunningRequests) {
   EnginesWorld world(4);
   for (auto& [id, engine] : world.engines) engine.forced = OrderOutcome::kInvalid;
   world.stopWhenDone = false;
@@ -272,7 +272,7 @@
   if (!last.modes.empty()) CHECK(last.modes.back() == LoadMode::kCut);
 }
 
-TEST(EnginesRollout, ANewerNamingDuringTheRollOutEndsAtTheNewest) {
+TEST(EnginesRollout, ANewTargetDuringTheRolloutReplacesTheOldOne) {
   EnginesWorld world(9);
   world.run(2);
   world.weights.models[kModel] = {5};
@@ -281,8 +281,9 @@
   CHECK(world.now < at(12));
 }
 
-// A new term has the whole time for what was named before it: nothing is cut short for its sake.
-TEST(EnginesRollout, ANewTermHasTheWholeTimeForEarlierNamings) {
+// A new term grants the full time to target versions set before it, so no running request is cut
+// off because of a change of leader.
+TEST(EnginesRollout, ANewTermGrantsTheFullTimeToEarlierTargets) {
   EnginesWorld world(4);
   for (auto& [id, engine] : world.engines) engine.forced = OrderOutcome::kInvalid;
   world.stopWhenDone = false;
@@ -297,11 +298,11 @@
   world.run(18, secondLister, second);
   CHECK(!last.modes.empty());
   for (LoadMode mode : last.modes) CHECK(mode == LoadMode::kWait);
-  world.run(19.9, secondLister, second);  // shortly before 12 s after it began: the last resort
+  world.run(19.9, secondLister, second);  // just under 12 s after its start: the last resort
   CHECK(last.modes.back() == LoadMode::kCut);
 }
 
-TEST(EnginesRollout, DrainingEnginesAreLeftAlone) {
+TEST(EnginesRollout, DrainingEnginesAreNotLoaded) {
   EnginesWorld world(4);
   world.engines.at({"e102"}).listed.draining = true;
   world.run(8);
--- a/tests/engines_world.h
+++ b/tests/engines_world.h
@@ -1,5 +1,6 @@
 #pragma once
-// Engines that load weights as told, with a primary's lister and roll-out on simulated time.
+// Simulated engines that load weights when ordered, with a leader's engine discovery and rollout on
+// simulated time.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -15,7 +16,7 @@
 
 inline const ModelName kModel{"m"};
 
-/// An engine that loads as told; its report and its place in the list lag.
+/// An engine that loads weights when ordered. Its reports and its list entry are delayed.
 struct FakeEngine {
   Engine listed;
   WeightsVersion version{1};
@@ -23,12 +24,12 @@
   MonotonicTime busyUntil = kNever, lastOrder = kNever;
   WeightsVersion coming;
   std::string lastHolder;
-  bool silent = false;                         // its answers are lost; orders arrive
-  bool deaf = false;                           // orders don't arrive either
-  OrderOutcome forced = OrderOutcome::kTaken;  // anything else is answered at once
-  MonotonicTime runsUntil = kNever;            // its requests, that a load has to wait for
+  bool silent = false;                         // its answers are lost; orders still arrive
+  bool deaf = false;                           // orders and report requests don't arrive
+  OrderOutcome forced = OrderOutcome::kTaken;  // any other value is the answer to every order
+  MonotonicTime runsUntil = kNever;  // end of its running requests, for which a load waits
   std::vector<LoadMode> modes;
-  std::deque<std::pair<MonotonicTime, EngineReport>> past;  // what its reports tell, by time
+  std::deque<std::pair<MonotonicTime, EngineReport>> past;  // reports by time, for delayed answers
   EngineReport report() const {
     EngineReport report;
     report.models[kModel] = version;
@@ -43,7 +44,7 @@
   Event event;
 };
 
-/// A primary, its lister, and the engines. Example: `EnginesWorld world(18); world.run(9);`
+/// A leader's engine discovery and rollout, and the simulated engines.
 struct EnginesWorld {
   explicit EnginesWorld(int count, int zones = 4) {
     for (int index = 0; index < count; ++index)
@@ -70,7 +71,7 @@
       if (engine.listed.address == address) return &engine;
     return nullptr;
   }
-  /// Engines that load now; those whose requests have to end first don't yet.
+  /// Number of engines that are loading, without those that still wait for running requests.
   std::size_t loadingNow() const {
     return static_cast<std::size_t>(std::ranges::count_if(engines, [&](const auto& entry) {
       return entry.second.coming.value != 0 && now >= entry.second.runsUntil;
@@ -161,7 +162,7 @@
     mostAtOnce = std::max(mostAtOnce, loadingNow());
     now = now + milliseconds(20);
   }
-  /// Until all is done, or the time is over. Example: `world.run(12)`.
+  /// Runs until the rollout is done or the time is reached.
   void run(double until) { run(until, lister, rollout); }
   void run(double until, Lister& withLister, Rollout& withRollout) {
     while (now < peppergate::at(until)) {
@@ -194,7 +195,7 @@
   std::string holder = "core-1";
   Duration loadTime = seconds(1.1);
   Duration reportsLag;
-  double slowing = 1;  // how much more than three at once slow each other
+  double slowing = 1;  // exponent by which more than three concurrent loads slow each other
   Duration leastGap = seconds(1000);
   std::size_t mostAtOnce = 0;
   int orders = 0;
--- a/tests/prompts_index_test.cc
+++ b/tests/prompts_index_test.cc
@@ -1,4 +1,4 @@
-// The index of kept parts: gaps, epochs, evictions, what a look-up finds; the watch that feeds it.
+// The prefix block index (gaps, epochs, evictions, lookups) and the watcher that feeds it.
 #include "prompts/part_index.h"
 
 #include "core/engine_list.h"
@@ -35,14 +35,14 @@
 
 TEST_GROUP(PartIndex){};
 
-TEST(PartIndex, WholePartsInOrderAndThePartOfTheNext) {
+TEST(PartIndex, CachedTokensAreCompleteBlocksAndPartOfTheNext) {
   PartIndex index;
   CHECK(index.hear(news(kOne, 7, 0, 3, {{"a", 800}, {"b", 128}, {"c", 300}})));
-  LONGS_EQUAL(928, index.keptTokens(kOne, kSalt, kPrompt));  // c is kept, but b isn't whole
+  LONGS_EQUAL(928, index.keptTokens(kOne, kSalt, kPrompt));  // c is cached, but b is incomplete
   LONGS_EQUAL(0, index.keptTokens(kTwo, kSalt, kPrompt));
   LONGS_EQUAL(0, index.keptTokens(kOne, "/llm.2", kPrompt));
   CHECK(index.hear(news(kTwo, 9, 0, 2, {{"b", 400}, {"c", 300}})));
-  LONGS_EQUAL(0, index.keptTokens(kTwo, kSalt, kPrompt));  // nothing before b
+  LONGS_EQUAL(0, index.keptTokens(kTwo, kSalt, kPrompt));  // a, which precedes b, isn't cached
   auto holdings = index.holdings(kSalt, kPrompt);
   LONGS_EQUAL(1, holdings.size());
   LONGS_EQUAL(928, holdings[0].tokens);
@@ -50,26 +50,26 @@
   LONGS_EQUAL(2, index.holderCount(kSalt, "b"));
 }
 
-TEST(PartIndex, BlocksMayLackTheEndOfAPart) {
+TEST(PartIndex, ABlockWithoutItsLastTokensIsComplete) {
   PartIndex index;
   index.hear(news(kOne, 7, 0, 2, {{"a", 790}, {"b", 400}}));
   LONGS_EQUAL(1190, index.keptTokens(kOne, kSalt, kPrompt));
 }
 
-TEST(PartIndex, GapsAreSaidOnceAndWhatWasToldCounts) {
+TEST(PartIndex, AGapIsReportedOnceAndItsUpdateStillApplies) {
   PartIndex index;
   CHECK(index.hear(news(kOne, 7, 0, 3, {{"a", 800}})));
   CHECK_FALSE(index.hear(news(kOne, 7, 5, 6, {{"b", 400}})));
   LONGS_EQUAL(1200, index.keptTokens(kOne, kSalt, kPrompt));
   CHECK(index.hear(news(kOne, 7, 6, 8, {{"a", 0}})));
   LONGS_EQUAL(0, index.keptTokens(kOne, kSalt, kPrompt));
-  CHECK(index.hear(news(kOne, 7, 0, 3, {{"a", 800}})));  // late and old: it changes nothing
+  CHECK(index.hear(news(kOne, 7, 0, 3, {{"a", 800}})));  // outdated: changes nothing
   LONGS_EQUAL(0, index.keptTokens(kOne, kSalt, kPrompt));
   CHECK(index.hear(news(kOne, 7, 9, 9, {{"a", 800}}, true)));
-  LONGS_EQUAL(1, index.size());  // whole: b is gone
+  LONGS_EQUAL(1, index.size());  // a complete update: b is removed
 }
 
-TEST(PartIndex, AnotherEpochIsAnotherMemory) {
+TEST(PartIndex, ANewEpochClearsTheEntries) {
   PartIndex index;
   index.hear(news(kOne, 7, 0, 3, {{"a", 800}, {"b", 400}}));
   index.expect(kOne, kSalt, kPrompt);
@@ -82,7 +82,7 @@
   CHECK_FALSE(index.known(kOne).has_value());
 }
 
-TEST(PartIndex, WholeAnswersRebuildTheSameEntries) {
+TEST(PartIndex, CompleteUpdatesRebuildTheSameEntries) {
   PartIndex index, copy;
   index.hear(news(kOne, 7, 0, 4, {{"a", 800}, {"b", 400}}));
   index.expect(kOne, "4:desk/llm.1", kPrompt);
@@ -123,7 +123,7 @@
   }
 }
 
-// ---- the watch ----
+// ---- the watcher ----
 namespace {
 
 struct Front {
@@ -185,7 +185,7 @@
     CHECK(one.watch.mine(engine) != two.watch.mine(engine));
 }
 
-TEST(PartWatch, AnswersReachTheOtherFrontsInOneBatch) {
+TEST(PartWatch, AnswersReachTheOtherRoutersInOneBatch) {
   Front one(1), two(2);
   one.meets(2);
   one.outbox.take();
@@ -208,7 +208,7 @@
   LONGS_EQUAL(1, told.size());
   two.watch.hear({"10.0.0.1:1"}, told[0], at(1.72), two.outbox);
   LONGS_EQUAL(1200, two.index.keptTokens(engine, kSalt, kPrompt));
-  // The next poll goes on from there; a lost piece of news makes the other front ask.
+  // The next poll continues from there; a lost update makes the other router request the changes.
   auto later = taken<PollParts>(commands);
   const PollParts* next = pollOf(later, polls[0].address.value.c_str());
   CHECK(next != nullptr);
@@ -229,7 +229,7 @@
   LONGS_EQUAL(800, two.index.keptTokens(engine, kSalt, kPrompt));
 }
 
-TEST(PartWatch, ALossAsksForTheWholeListAtMostOnceInTenSeconds) {
+TEST(PartWatch, LostChangesCauseAtMostOneListingInTenSeconds) {
   Front one(1);
   std::vector<std::pair<EngineId, Address>> only{kKeepers[0]};
   one.watch.tick(only, at(1), one.outbox);
@@ -251,11 +251,11 @@
                    one.outbox);
   for (double time : {3.0, 3.1, 3.2}) one.watch.tick(only, at(time), one.outbox);
   auto commands = one.outbox.take();
-  LONGS_EQUAL(0, taken<ListParts>(commands).size());  // the gap is borne
+  LONGS_EQUAL(0, taken<ListParts>(commands).size());  // the gap is tolerated
   LONGS_EQUAL(1, taken<PollParts>(commands).size());
 }
 
-TEST(PartWatch, ARestartIsAskedFromItsStart) {
+TEST(PartWatch, ARestartedEngineIsPolledFromItsStart) {
   Front one(1);
   std::vector<std::pair<EngineId, Address>> only{kKeepers[0]};
   one.watch.tick(only, at(1), one.outbox);
@@ -274,7 +274,7 @@
   LONGS_EQUAL(1200, one.index.keptTokens(kOne, kSalt, kPrompt));
 }
 
-TEST(PartWatch, AStoreThatDoesNotAnswerKeepsNothing) {
+TEST(PartWatch, AnUnresponsiveStoreLosesItsEntries) {
   Front one(1);
   std::vector<std::pair<EngineId, Address>> only{kKeepers[2]};
   one.watch.tick(only, at(1), one.outbox);
@@ -287,7 +287,7 @@
     LONGS_EQUAL(1, polls.size());
     one.watch.polled({polls[0].ticket, 0, 0, 0, false, {}}, at(time), one.outbox);
     one.watch.tick(only, at(time + 0.4), one.outbox);
-    LONGS_EQUAL(0, taken<PollParts>(one.outbox.take()).size());  // it waits half a second
+    LONGS_EQUAL(0, taken<PollParts>(one.outbox.take()).size());  // retried after half a second
   }
   LONGS_EQUAL(0, one.index.size());
   one.watch.tick(only, at(time + 1), one.outbox);
--- a/tests/weight_namings_test.cc
+++ b/tests/weight_namings_test.cc
@@ -1,4 +1,5 @@
-// Namings of weights: each binds what is older from its own time on.
+// The history of target versions of weights, and what extends the grace time of older ones: leader
+// outages and restarts of control nodes.
 #include "engines/weight_namings.h"
 
 #include "requests/core_lives.h"
@@ -11,7 +12,7 @@
 
 const ModelName kModel{"llm"};
 
-/// Namings of one model, noted when they were made.
+/// The target versions of one model, recorded when they were set.
 struct Namings {
   WeightNamings kept{seconds(12)};
   void name(std::uint64_t version, double time) { note(version, at(time), time); }
@@ -25,12 +26,12 @@
 
 TEST_GROUP(WeightNamings){};
 
-TEST(WeightNamings, TheFirstAboveAVersionBindsIt) {
+TEST(WeightNamings, AVersionIsOutdatedFromTheFirstNewerTarget) {
   Namings namings;
   namings.name(2, 1);
   namings.name(3, 5);
   namings.name(7, 9);
-  namings.name(7, 11);  // said again
+  namings.name(7, 11);  // repeated
   CHECK(namings.since(1) == at(1));
   CHECK(namings.since(2) == at(5));
   CHECK(namings.since(3) == at(9));
@@ -39,19 +40,19 @@
   CHECK(namings.kept.outdatedSince({"other"}, {1}) == kForever);
 }
 
-TEST(WeightNamings, AnUnknownTimeIsTheEarliest) {
+TEST(WeightNamings, AnUnknownTimeCountsAsTheEarliest) {
   Namings namings;
   namings.note(4, kNever, 3);
   CHECK(namings.since(1) == kNever);
   CHECK(namings.since(3) == kNever);
   CHECK(namings.since(4) == kForever);
-  // Heard of late, and with a time before that of the naming before it: times don't fall.
+  // Recorded late, with a time before that of the previous target: times never decrease.
   namings.name(5, 20);
   namings.note(6, at(15), 21);
   CHECK(namings.since(5) == at(20));
 }
 
-TEST(WeightNamings, HundredsTakeLittleAndGiveNoMoreTime) {
+TEST(WeightNamings, HundredsOfTargetsAreMergedWithoutExtendingTheGraceTime) {
   Namings namings;
   for (std::uint64_t version = 2; version <= 500; ++version) {
     double now = 0.01 * static_cast<double>(version);
@@ -64,7 +65,7 @@
     CHECK(namings.since(version) <= at(0.01 * static_cast<double>(version + 1)));
 }
 
-TEST(WeightNamings, WhatIsOverIsForgottenButStillBinds) {
+TEST(WeightNamings, ExpiredTargetsAreDroppedButStillApply) {
   Namings namings;
   for (std::uint64_t version = 2; version <= 100; ++version)
     namings.name(version, 10.0 * static_cast<double>(version));
@@ -74,7 +75,7 @@
   CHECK(namings.since(99) == at(1000));
 }
 
-TEST(WeightNamings, TimeThatNobodyCouldUseIsGivenBack) {
+TEST(WeightNamings, PostponingShiftsTheTimesOfAllTargets) {
   Namings namings;
   namings.note(2, kNever, 1);
   namings.name(3, 4);
@@ -83,7 +84,7 @@
   CHECK(namings.since(2) == at(9));
 }
 
-TEST(WeightNamings, AfterTroubleOfTheCoreTheirTimeBeginsAnew) {
+TEST(WeightNamings, RestartingMovesEarlierTargetsToTheMoment) {
   Namings namings;
   namings.note(2, kNever, 1);
   namings.name(3, 4);
@@ -92,13 +93,13 @@
   CHECK(namings.since(1) == at(20));
   CHECK(namings.since(2) == at(20));
   CHECK(namings.since(3) == at(30));
-  namings.kept.restart(at(10));  // earlier trouble takes nothing back
+  namings.kept.restart(at(10));  // an earlier failure changes nothing
   CHECK(namings.since(2) == at(20));
 }
 
 TEST_GROUP(CoresLives){};
 
-TEST(CoresLives, ANewLifeOfAKnownCoreIsARestart) {
+TEST(CoresLives, ANewMemberIdAtAKnownAddressIsARestart) {
   CoreLives lives;
   MemberRecord first, second;
   first.address = {"10.0.0.1:1"};
@@ -107,18 +108,19 @@
   second.member = {21};
   CHECK_FALSE(lives.restarted({}));
   CHECK_FALSE(lives.restarted({first}));
-  CHECK_FALSE(lives.restarted({first, second}));  // heard of later, not restarted
-  CHECK_FALSE(lives.restarted({second}));         // silent for a while
+  CHECK_FALSE(lives.restarted({first, second}));  // discovered later, not restarted
+  CHECK_FALSE(lives.restarted({second}));         // not reported for a while
   CHECK_FALSE(lives.restarted({first, second}));
   MemberRecord again = first;
   again.member = {12};
   CHECK_TRUE(lives.restarted({again, second}));
-  CHECK_FALSE(lives.restarted({first, again, second}));  // its former life is still told of
+  CHECK_FALSE(lives.restarted({first, again, second}));  // the former one is still reported
 }
 
 TEST_GROUP(LeaderSilences) {
   LeaderSilence silence;
-  /// Ticks each 50 ms with the proofs of one leader; what a new leader ended is added up.
+  /// Ticks every 50 ms with one leader's lease proofs. Returns the total of the periods without a
+  /// leader that a new leader ended.
   Duration run(double from, double to, double lastProof, std::uint64_t epoch) {
     Duration ended{};
     for (int tick = 0; from + 0.05 * tick < to; ++tick) {
@@ -130,7 +132,7 @@
   static constexpr double kProofsCome = -1;
 };
 
-TEST(LeaderSilences, ANewLeaderEndsOne) {
+TEST(LeaderSilences, ANewLeaderEndsAnOutage) {
   CHECK(run(0, 5, kProofsCome, 1) == Duration{});
   CHECK(run(5, 11, 5, 1) == Duration{});
   Duration ended = run(11, 12, kProofsCome, 2);
@@ -138,25 +140,25 @@
   CHECK(ended < seconds(4.2));
 }
 
-TEST(LeaderSilences, AnotherLeaderWithoutSilenceGivesNothing) {
+TEST(LeaderSilences, AChangeOfLeaderWithoutAnOutageAddsNothing) {
   run(0, 5, kProofsCome, 1);
   CHECK(run(5, 20, kProofsCome, 2) == Duration{});
 }
 
-TEST(LeaderSilences, TheSameLeaderEndsNone) {
+TEST(LeaderSilences, TheReturnOfTheSameLeaderAddsNothing) {
   run(0, 5, kProofsCome, 1);
   run(5, 30, 5, 1);
   CHECK(run(30, 31, kProofsCome, 1) == Duration{});
   CHECK(run(31, 40, kProofsCome, 2) == Duration{});
 }
 
-TEST(LeaderSilences, TimeInWhichTheProcessDidNotRunIsNone) {
+TEST(LeaderSilences, PausesOfTheProcessAreNotCounted) {
   run(0, 5, kProofsCome, 1);
   CHECK(silence.tick(at(5), {1}, at(25)) == Duration{});
   CHECK(run(25.05, 25.5, kProofsCome, 2) <= seconds(0.3));
 }
 
-TEST(LeaderSilences, TheFirstLeaderEndsNone) {
+TEST(LeaderSilences, TheFirstLeaderEndsNoOutage) {
   run(0, 8, 0, 0);
   CHECK(run(8, 9, kProofsCome, 3) == Duration{});
 }
