--- a/src/engines/engine.h
+++ b/src/engines/engine.h
@@ -60,8 +60,7 @@
   std::uint64_t fence = 0;
   std::optional<std::uint64_t> expectedCalls;
   Duration timeout = seconds(1);
-  MonotonicTime writeBefore =
-      kForever;  // checked again when the order is written to the connection
+  MonotonicTime writeBefore = kForever;  // checked again when the order is written
 };
 struct PollParts {  // long poll for changes of an engine's or a store's cached prefix blocks
   TicketId ticket;
--- a/src/engines/engine_book.cc
+++ b/src/engines/engine_book.cc
@@ -9,8 +9,7 @@
 
 constexpr Duration kToldLasts = seconds(2);
 constexpr Duration kNotedLasts = seconds(2);
-constexpr Duration kOtherSettles =
-    seconds(1);  // a list that arrives sooner may still contain the old engine
+constexpr Duration kOtherSettles = seconds(1);  // an earlier list may contain the old engine
 constexpr double kSmoothing = 0.2;
 constexpr double kShortestDrainMs = 50;  // shortest decay time of the prefill that others reported
 
--- a/src/engines/engine_book.h
+++ b/src/engines/engine_book.h
@@ -35,8 +35,7 @@
   bool loading = false;                        // ordered to load new weights; takes no requests
   std::map<ModelName, WeightsVersion> models;  // newest versions from discovery or a response
   double firstEventMs = 0, eventGapMs = 0;     // smoothed measurements
-  int closesInARow =
-      0;  // responses that closed the connection; a hint that it may be shutting down
+  int closesInARow = 0;  // responses that closed the connection; it may be shutting down
 
   // Outlier detection.
   MonotonicTime failedAt = kNever;       // its last failure
@@ -44,12 +43,10 @@
   Duration unreachableRest, strikeRest;  // the next ejection lasts twice as long
   bool restsByStrikes = false;
   bool trial = false;  // back from an ejection: limited to one request until that succeeds
-  MonotonicTime trialSince = kNever;  // when that request was sent
-  MonotonicTime otherAt = kNever;     // when another engine was found at its address
-  MonotonicTime lastResortUntil =
-      kNever;  // used although ejected, since its service has no usable engine
-  std::map<Address, MonotonicTime>
-      accusers;  // routers that reported failures, with the time of the report
+  MonotonicTime trialSince = kNever;          // when that request was sent
+  MonotonicTime otherAt = kNever;             // when another engine was found at its address
+  MonotonicTime lastResortUntil = kNever;     // used although ejected: its service has no other
+  std::map<Address, MonotonicTime> accusers;  // routers that reported failures, with the time
   std::uint64_t failuresToTell = 0, answersToTell = 0;
   bool unreachableToTell = false;
 };
--- a/src/engines/lister.cc
+++ b/src/engines/lister.cc
@@ -8,9 +8,8 @@
 constexpr Duration kPageTimeout = seconds(1);
 constexpr Duration kSilence = seconds(1.5);      // after which a router polls the platform itself
 constexpr Duration kLongSilence = seconds(2.6);  // upper bound, for lists with many pages
-constexpr Duration kProofEvery =
-    seconds(0.5);  // interval of confirmations that the list is unchanged
-constexpr Duration kLoadingEnds = seconds(5);  // unless it is repeated
+constexpr Duration kProofEvery = seconds(0.5);   // confirms that the list is unchanged
+constexpr Duration kLoadingEnds = seconds(5);    // unless it is repeated
 constexpr Duration kLargestBackoff = seconds(4);
 constexpr std::size_t kLargestPages = 10'000;
 constexpr std::uint64_t kTags = 256;
@@ -194,8 +193,7 @@
     askWhole(from, outbox);
     return false;
   }
-  if (local_ && seen < seen_)
-    return false;  // the own list is newer; a later update will replace it
+  if (local_ && seen < seen_) return false;  // the own list is newer; later updates replace it
   switch (readRoster(news.list, local_ ? ListVersion{} : version_, roster_)) {
     case RosterRead::kTaken:
       version_ = news.version;
--- a/src/engines/lister.h
+++ b/src/engines/lister.h
@@ -16,7 +16,7 @@
 /// received no update for too long polls the platform itself.
 ///
 /// A list version consists of the term of the polling node, a change counter (24 bits) and a random
-/// tag chosen at its start, so that two partitions that poll under the same term never give the
+/// tag chosen at its start, so that two partitions that poll under the same term don't give the
 /// same version to different lists.
 class Lister {
  public:
--- a/src/engines/rollout.cc
+++ b/src/engines/rollout.cc
@@ -25,8 +25,8 @@
   orders_.clear();
   reports_.clear();
   aside_.clear();
-  namings_.restart(
-      now);  // a new term mostly follows a control failure, so the full time is granted
+  // A new term mostly follows a control failure, so the full grace time is granted again.
+  namings_.restart(now);
   named_.clear();
   dirty_ = true;
   done_ = false;
@@ -207,8 +207,8 @@
   std::vector<EngineId> loading;
   for (const auto& [engine, step] : steps_) loading.push_back(engine);
   lister_.loading(std::move(loading), now, outbox);
-  if (lister_.version() != foundAt_)
-    foundAt_ = lister_.version();  // the change just made needs no new search
+  // The change just made needs no new search.
+  if (lister_.version() != foundAt_) foundAt_ = lister_.version();
   bool was = done_;
   done_ = wanted_.empty() && steps_.empty() && lister_.version().value != 0;
   if (done_ && !was && !named_.empty())
--- a/src/engines/rollout.h
+++ b/src/engines/rollout.h
@@ -101,8 +101,7 @@
   std::string holder_;
   Models named_;
   WeightNamings namings_;
-  std::map<EngineId, Models>
-      known_;  // versions from reports and order responses, newer than the list
+  std::map<EngineId, Models> known_;  // from reports and order answers; newer than the list
   std::map<EngineId, Step> steps_;
   struct Aside {
     MonotonicTime until;     // no order before this time
--- a/src/engines/weight_namings.h
+++ b/src/engines/weight_namings.h
@@ -21,8 +21,7 @@
             MonotonicTime now);
   /// When a target newer than this version was first set; `kForever` if no target is newer.
   MonotonicTime outdatedSince(const ModelName& model, WeightsVersion version) const;
-  /// Shifts the times of all targets by a pause in which no engine could be ordered to load
-  /// weights.
+  /// Shifts the times of all targets by a pause in which no weights could be loaded.
   void postpone(Duration pause);
   /// Moves targets that were set before this moment to it.
   void restart(MonotonicTime moment);
--- a/src/prompts/cost.h
+++ b/src/prompts/cost.h
@@ -33,11 +33,10 @@
 struct CostWeights {
   double targetMs = 500;      // target time of the first event
   double rereadToken = 0.15;  // per token of a shared block computed again though cached elsewhere
-  double firstReadToken =
-      0.06;                    // per token of an uncached shared block computed away from its home
-  double copiedToken = 0.012;  // per token duplicated here, which displaces other blocks
-  double movedGigabyte = 90;   // single price within a zone, up to three times farther away
-  double otherZone = 5;        // for the traffic of the request and the response
+  double firstReadToken = 0.06;  // per token of an uncached block computed away from its home
+  double copiedToken = 0.012;    // per token duplicated here, which displaces other blocks
+  double movedGigabyte = 90;     // single price within a zone, up to three times farther away
+  double otherZone = 5;          // for the traffic of the request and the response
   double olderWeights = 30;
   double fullBatchMs = 60;  // delay of the first token by a full batch
   double memoryOver = 400;  // for a memory overcommitted by its whole size
--- a/src/prompts/part_index.h
+++ b/src/prompts/part_index.h
@@ -28,7 +28,7 @@
 };
 
 /// The time of a lookup depends on the number of its blocks and their holders, not on the size of
-/// the index. Blocks are identified by the salt and their hash.
+/// the index.
 class PartIndex final : public KeptParts {
  public:
   /// Applies a watcher's update; false if earlier changes are missing here.
@@ -106,8 +106,7 @@
   void clear(std::uint32_t slot);
 
   Kept kept_;
-  std::map<std::string, std::uint32_t, std::less<>>
-      salts_;  // few: isolation domains times weights versions
+  std::map<std::string, std::uint32_t, std::less<>> salts_;  // few: domains times versions
   std::vector<const std::string*> saltTexts_;
   std::map<EngineId, std::uint32_t> slotOf_;
   std::vector<Slot> slots_;
--- a/src/prompts/placement.cc
+++ b/src/prompts/placement.cc
@@ -7,8 +7,8 @@
 namespace peppergate {
 namespace {
 
-constexpr double kMoveOfTarget =
-    1.0 / 8;                     // fraction of the target in which a fetch need not be faster
+// Fetches get no rate beyond the one that takes this fraction of the target time.
+constexpr double kMoveOfTarget = 1.0 / 8;
 constexpr int kNamingsKept = 4;  // multiple of the grace time, which pauses may extend
 
 }  // namespace
--- a/src/prompts/placement.h
+++ b/src/prompts/placement.h
@@ -83,8 +83,7 @@
   /// Extends the grace time of engines on older weights by a period without a leader, in which no
   /// weights could be loaded.
   void withoutLeader(Duration silence) { namings_.postpone(silence); }
-  /// Restarts the grace time of older weights, after a control failure that lasted until this
-  /// moment.
+  /// Restarts the grace time of older weights after a control failure, which ended at this moment.
   void coreRestarted(MonotonicTime moment) { namings_.restart(moment); }
   /// Updates the link rates from the services' configuration.
   void links(const FleetConfig& config);
--- a/src/prompts/reading_speed.h
+++ b/src/prompts/reading_speed.h
@@ -1,6 +1,5 @@
 #pragma once
-// Estimates the prefill speed of engines from the time to the first event, as engines don't report
-// it.
+// Estimates the prefill speed of engines, which they don't report, from times to the first event.
 #include <map>
 #include <set>
 
@@ -15,8 +14,7 @@
   static constexpr double kStart = 100;  // tokens per millisecond
   /// Tokens per millisecond of the engine, or of its service if the engine has no sample yet.
   double of(const EngineId& engine, const ServiceName& service) const;
-  /// Adds a sample: the prefill of these tokens, including those queued before them, took this
-  /// long.
+  /// Adds a sample: how long the prefill of these tokens, including those ahead of them, took.
   void seen(const EngineId& engine, const ServiceName& service, double tokens, Duration took);
   /// Drops the engines that aren't in the set.
   void keepOnly(const std::set<EngineId>& engines);
--- a/src/prompts/survey.cc
+++ b/src/prompts/survey.cc
@@ -13,8 +13,7 @@
 constexpr Duration kStartsWithin = seconds(1);  // within which a sent request has started, and
 constexpr double kQueueMargin = 2;              // a safety factor on the delay by its queue
 
-constexpr double kKeptForUrgent =
-    1.0 / 16;  // fraction of the slots denied to the least urgent requests
+constexpr double kKeptForUrgent = 1.0 / 16;  // of the slots, denied to the least urgent requests
 constexpr int kLeastUrgent = 9;
 
 /// The share of an engine's slots that a request of this urgency may use. The last slots are
