--- a/src/prompts/placement.h
+++ b/src/prompts/placement.h
@@ -34,7 +34,7 @@
   std::span<const EngineId> tried;  // engines of earlier attempts, excluded
 };
 
-/// The placement of one attempt. `salt` contains the isolation domain and the weights version, so
+/// The placement of one attempt. `salt` contains the cache domain and the weights version, so
 /// that no engine reuses a block across them.
 struct Placed {
   EngineId engine;
--- a/src/prompts/salt.h
+++ b/src/prompts/salt.h
@@ -1,5 +1,5 @@
 #pragma once
-// The cache salt: the key under which an engine looks up cached blocks. It contains the isolation
+// The cache salt: the key under which an engine looks up cached blocks. It contains the cache
 // domain and the weights version, so that no block is reused across them, whatever an index
 // contains.
 #include <string>
@@ -17,7 +17,7 @@
   return salt + "/" + model.value + "." + std::to_string(version.value);
 }
 
-/// The isolation domain of a request: the tenant's own if its cache is isolated, otherwise the
+/// The cache domain of a request: the tenant's own if its cache is isolated, otherwise the
 /// shared one.
 inline Wall wallOf(const TenantId& tenant, bool isolated) {
   return isolated ? Wall{tenant.value} : Wall{};
