--- a/src/engines/engine.h
+++ b/src/engines/engine.h
@@ -69,7 +69,7 @@
   Duration wait = milliseconds(1000);
   Duration timeout = seconds(2);
 };
-struct ListParts {  // requests all cached prefix blocks; expensive, since it stalls the engine
+struct ListParts {  // requests all cached blocks; expensive, stalls the engine
   TicketId ticket;
   Address address;
   Duration timeout = seconds(2);
--- a/src/engines/engine_book.cc
+++ b/src/engines/engine_book.cc
@@ -106,7 +106,7 @@
   lower(state->tokensSinceTold, prefillTokens);
   smooth(state->firstEventMs, inSeconds(took) * 1e3);
   if (prefillTokens > 0) smooth(firstEventMean_, inSeconds(took) * 1e3);
-  state->trial = false;  // strikes are only reset by a complete response
+  state->trial = false;  // failures are only reset by a complete response
 }
 
 void EngineBook::eventGap(const EngineId& engine, Duration gap) {
--- a/src/engines/engine_book.h
+++ b/src/engines/engine_book.h
@@ -46,7 +46,7 @@
   MonotonicTime trialSince = kNever;          // when that request was sent
   MonotonicTime otherAt = kNever;             // when another engine was found at its address
   MonotonicTime lastResortUntil = kNever;     // used although ejected: its service has no other
-  std::map<Address, MonotonicTime> accusers;  // routers that reported failures, with the time
+  std::map<Address, MonotonicTime> accusers;  // reporting routers
   std::uint64_t failuresToTell = 0, answersToTell = 0;
   bool unreachableToTell = false;
 };
--- a/src/engines/engine_outliers.cc
+++ b/src/engines/engine_outliers.cc
@@ -8,7 +8,8 @@
 
 constexpr Duration kFirstUnreachableRest = seconds(0.3);
 constexpr Duration kFirstStrikeRest = seconds(0.5);
-constexpr Duration kSharedRest = seconds(2);  // the first one if several routers saw failures
+// The first ejection after failures that several routers saw.
+constexpr Duration kSharedRest = seconds(2);
 constexpr Duration kLongestRest = seconds(5);
 constexpr Duration kStrikesInARow = seconds(5);
 constexpr Duration kOtherRest = seconds(5);   // unless a newer list arrives sooner
--- a/src/engines/lister.h
+++ b/src/engines/lister.h
@@ -23,7 +23,7 @@
   Lister(const Options& options, Membership& membership, Random& random);
   /// Polls when due. `inCharge`: this control node is the leader, or the read-only leader of its
   /// partition, under a lease; `term` then orders its lists after those of earlier leaders. A
-  /// router is never in charge.
+  /// router never polls for the fleet.
   void tick(bool inCharge, Epoch term, MonotonicTime now, Outbox& outbox);
   /// Handles a page of the list; false if the ticket isn't this object's.
   bool listed(const EnginesListed& page, MonotonicTime now, Outbox& outbox);
@@ -68,7 +68,7 @@
   Roster roster_;
   ListVersion version_;  // of the list held here
   ListVersion fleet_;    // the newest announced by any polling node
-  bool local_ = false;   // the list held here was polled by this router and isn't a fleet version
+  bool local_ = false;   // the list was polled by this router itself
   MonotonicTime seen_ = kNever;
   MonotonicTime fleetSeen_ = kNever;  // the same, by updates from a polling node only
   Duration wordsGap_;                 // between the last two updates
--- a/src/engines/rollout.h
+++ b/src/engines/rollout.h
@@ -56,9 +56,10 @@
     MonotonicTime ticketSince = kNever;
     std::optional<std::uint64_t> expectedCalls;
     int unanswered = 0;
-    std::uint64_t fence = 0;  // the same for all its orders, so that a delayed one isn't rejected
-    bool stuck = false;       // its running requests take long; it doesn't count towards the limit
-    bool inherited = false;   // announced by an earlier leader
+    // The same for all its orders, so that the engine doesn't reject a delayed one.
+    std::uint64_t fence = 0;
+    bool stuck = false;      // its running requests take long; it doesn't count towards the limit
+    bool inherited = false;  // announced by an earlier leader
   };
   struct Wanted {
     EngineId engine;
--- a/src/engines/rollout_steps.cc
+++ b/src/engines/rollout_steps.cc
@@ -6,7 +6,7 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kAnnounced = milliseconds(120);  // so that routers have stopped sending requests
+constexpr Duration kAnnounced = milliseconds(120);  // for routers to stop sending
 constexpr Duration kReportEvery = milliseconds(200);
 constexpr Duration kReportsLag = seconds(0.6);  // until a report reflects an order
 constexpr Duration kHoldMargin = milliseconds(50);
@@ -107,7 +107,7 @@
     case OrderOutcome::kUnknown:
       outbox.count("rollout.unknown");
       enter(step, Phase::kChecking, now);
-      step.nextReport = step.orderedAt + kReportsLag;  // an older report wouldn't reflect the order
+      step.nextReport = step.orderedAt + kReportsLag;  // earlier reports may miss it
       return;
     case OrderOutcome::kBusy:
       outbox.count("rollout.busy");
--- a/src/prompts/part_watch.cc
+++ b/src/prompts/part_watch.cc
@@ -76,7 +76,7 @@
       watched.address = address;
       outbox.count("parts.watched");
       if (known) {
-        watched.since = watched.told = known->next;  // continues where the previous watcher stopped
+        watched.since = watched.told = known->next;  // continues the previous watcher's polls
       } else if (owners.size() > 1) {
         ask(membership_.addressOf(owners[1]), engine, now, outbox);
         watched.next = now + kAnswerWait;
--- a/src/prompts/placement.h
+++ b/src/prompts/placement.h
@@ -138,7 +138,7 @@
   Random& random_;
   Zone zone_;
   std::optional<StoreShape> store_;
-  Setup operators_, plan_;  // plan_: the effective rate levels and classes
+  Setup operators_, plan_;  // as configured, and as in effect
   ConfigVersion configVersion_;
   ListVersion listVersion_;
   bool linked_ = false;
--- a/src/prompts/survey.cc
+++ b/src/prompts/survey.cc
@@ -91,7 +91,7 @@
                          Duration beginsWithin) const {
   if (version >= survey.named || !options_.guards(Guard::kOldWeights)) return true;
   MonotonicTime since = namings_.outdatedSince(survey.ask.model, version);
-  if (since == kForever) return false;  // named, but not known since when
+  if (since == kForever) return false;  // there is a newer target, set at an unknown time
   return survey.now - since < options_.weightsWithin - beginsWithin;
 }
 
