--- a/src/core/acceptor.cc
+++ b/src/core/acceptor.cc
@@ -35,8 +35,9 @@
       bootstrapper_(bootstrapper),
       durable_(std::move(record)),
       grantsNothingUntil_(started) {
-  // It may have renewed a grant just before it ended. A promise is on disk before it is answered,
-  // so a voter without any has granted nothing.
+  // The process may have renewed a lease just before it ended, so it grants nothing for the length
+  // of a lease. A promise is on disk before it is answered: an acceptor without any granted
+  // nothing.
   bool untouched = durable_.promised.value == 0 && durable_.accepted.epoch.value == 0;
   if (!untouched) grantsNothingUntil_ = started + options.lease;
 }
@@ -55,8 +56,8 @@
 }
 
 void Acceptor::notice(MonotonicTime now) {
-  // After a stall or a leap of the clock it can't tell how much time really passed: what was
-  // granted then holds for one whole hold from now.
+  // After a stall or a jump of the clock the time that really passed is unknown: a lease that was
+  // granted before is extended by its full length from now.
   bool leapt = lastNotice_ != kNever && now - lastNotice_ > seconds(0.4);
   if (leapt && lastNotice_ < grantedUntil_ && options_.guards(Guard::kClockLeap))
     grantedUntil_ = std::max(grantedUntil_, now + options_.lease);
@@ -78,7 +79,8 @@
 }
 
 bool Acceptor::mayPromise(const PrepareRequest& ask, MonotonicTime now) const {
-  // Only those that were born with the fleet found it, and only until it has a backup.
+  // Only cores that took part in the first start bootstrap the fleet, and only before it has a
+  // backup.
   bool allowed =
       ask.kind != PrepareKind::kBootstrap || (bootstraps() && isBootstrap(durable_.accepted));
   return allowed && !suspect_ && !grantedToOther(ask.candidate, now) &&
@@ -105,7 +107,7 @@
   inFlight_ = std::move(waiting);
   writingSince_ = now;
   ticket_ = outbox.ticket();
-  // One promise and one acceptance at the most are written for an epoch, so this only rises.
+  // At most one promise and one acceptance are written for an epoch, so file numbers only rise.
   bool accepting = writing_.accepted.epoch == writing_.promised;
   outbox.push(WriteFile{ticket_, numbered("voter", writing_.promised.value * 2 + accepting),
                         sealed(toJson(writing_).dump())});
@@ -125,10 +127,10 @@
 }
 
 void Acceptor::released(const PrepareRequest& ask) {
-  // A late word must not free what was granted since: to a higher epoch, or to a read-only leader
-  // again.
+  // A delayed release must not end a lease that was granted after it was sent: one of a higher
+  // epoch, or a newer read lease of the same read-only leader.
   if (ask.epoch.value == 0) {
-    // It names the last question that it bound itself with.
+    // A read-only leader names the last request with which it asked for the lease.
     if (grantIsReadLease_ && ask.sentAt == readLeaseSentAt_) release(ask.candidate);
     return;
   }
@@ -143,8 +145,8 @@
     return;
   }
   bool renewal = ask.epoch == durable_.promised && ask.candidate == durable_.promisedTo;
-  // While a promise to another candidate is being written, this vote is that candidate's, also
-  // when the disk takes longer than a lease.
+  // While a promise to another candidate is being written, this vote belongs to that candidate,
+  // even if the write takes longer than a lease.
   bool promisesOther = inFlight_ && writing_.promisedTo != ask.candidate;
   if (renewal && !promisesOther && !suspect_ && !grantedToOther(ask.candidate, now)) {
     grant(ask.candidate, now);
@@ -159,7 +161,7 @@
     replyToPrepare(from, ask, false, outbox);
     return;
   }
-  // The hold shuts others out from now on, before the promise is on disk.
+  // The lease excludes other candidates from now on, before the promise is on disk.
   grant(ask.candidate, now);
   AcceptorRecord next = durable_;
   next.promised = ask.epoch;
@@ -173,8 +175,8 @@
     if (queue_.size() < 16) queue_.push_back({from, ask});
     return;
   }
-  // One epoch has one view; a second one under its number would be a fork.
-  if (nowSettled(ask.view)) {  // whatever was promised since: it was chosen before
+  // One epoch has one view; a second one of the same epoch would be a fork.
+  if (nowSettled(ask.view)) {  // it was chosen before any promise that was given since
     AcceptorRecord next = durable_;
     next.accepted = ask.view;
     write(std::move(next), {from, ask}, now, outbox);
@@ -208,7 +210,8 @@
   if (!event.synced && options_.guards(Guard::kSyncFailure)) {
     suspect_ = true;
     queue_.clear();
-    outbox.push(NoteState{"voter: a sync failed, the disk is suspect, it votes no more"});
+    outbox.push(
+        NoteState{"voter: a sync failed; the disk is suspect and this voter no longer votes"});
     return true;
   }
   outbox.push(DropOlder{"voter", 2});
--- a/src/core/acceptor.h
+++ b/src/core/acceptor.h
@@ -1,5 +1,5 @@
 #pragma once
-// A voter keeps its identity, the highest promise and the highest accepted view; nothing else.
+// The acceptor of a core: stores its identity, its highest promise and its highest accepted view.
 #include <deque>
 #include <optional>
 #include <vector>
@@ -9,24 +9,24 @@
 
 namespace peppergate {
 
-/// How a core takes part in the bootstrap of its fleet; by default it doesn't. Only an empty disk
-/// takes it, and keeps it: a core that finds its identity on disk founds as told at its birth.
+/// How a core takes part in the bootstrap of a new fleet; by default it doesn't. The settings are
+/// taken and stored only while the disk is empty: a core that finds its identity on disk uses those
+/// of its first start.
 /// Example: `Bootstrap{true, {{"10.0.0.1:7100"}, {"10.0.0.2:7100"}, {"10.0.0.3:7100"}}}`.
 struct Bootstrap {
-  bool first = false;           // the very first start of the whole fleet
-  std::vector<Address> voters;  // three at most, alike at all; the first of them goes first
-  std::size_t cores = 0;        // or: found as soon as exactly so many cores are seen
+  bool first = false;           // the first start of the whole fleet
+  std::vector<Address> voters;  // at most three, the same list at each; the first campaigns first
+  std::size_t cores = 0;        // instead of a list: bootstrap once exactly so many cores are known
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(first) PEPPERGATE_FIELD(voters))
 };
 
-/// Whether a view is one that was just founded: nothing was ever acknowledged in it.
-/// Example: `isBootstrap(record.accepted)`.
+/// Whether a view is a bootstrap view: it has no backup, so nothing was ever acknowledged in it.
 inline bool isBootstrap(const View& view) { return view.backups.empty(); }
 
-/// Whether a core keeps a copy of the state in this view. Example: `isMember(view, self())`.
+/// Whether a core keeps a replica of the state in this view.
 bool isMember(const View& view, CoreId core);
 
-/// What is on a voter's disk.
+/// The durable state of an acceptor.
 struct AcceptorRecord {
   CoreId identity;
   Epoch promised;
@@ -36,47 +36,47 @@
                         PEPPERGATE_FIELD(promisedTo) PEPPERGATE_FIELD(accepted))
 };
 
-/// Promises and holds are one thing here: a promise to one core shuts out all others for a hold.
-/// Example: `acceptor.ask(from, PrepareRequest{...}, now, outbox);`
+/// Votes in leader elections. A promise is also a lease: it excludes all other candidates until the
+/// lease ends.
 class Acceptor {
  public:
-  /// `founder`: one of those that found the fleet, with the disk of its birth.
+  /// `bootstrapper`: listed in the bootstrap settings, with the disk of its first start.
   Acceptor(const Options& options, AcceptorRecord record, MonotonicTime started,
            bool bootstrapper = false);
 
-  /// Takes a request for a promise or its renewal. Example: see the class.
+  /// Answers a request for a promise or its renewal, or takes a release.
   void ask(const Address& from, const PrepareRequest& ask, MonotonicTime now, Outbox& outbox);
-  /// Takes a view to accept. Example: `acceptor.ask(from, AcceptRequest{view}, now, outbox);`
+  /// Answers a request to accept a view.
   void ask(const Address& from, const AcceptRequest& ask, MonotonicTime now, Outbox& outbox);
-  /// Ends a write; true if the ticket was the voter's. Example: on FileWritten.
+  /// Completes a write; returns whether the ticket was the acceptor's.
   bool written(const FileWritten& event, MonotonicTime now, Outbox& outbox);
 
-  /// Whether this is the accepted view, and news here that it is settled.
+  /// Whether this is the accepted view in its settled form, and the acceptor doesn't have it on
+  /// disk as settled yet.
   bool nowSettled(const View& view) const;
-  /// What is on disk for certain. Example: `acceptor.record().accepted.epoch`.
+  /// What is on disk for certain; a write under way doesn't count.
   const AcceptorRecord& record() const { return durable_; }
-  /// Whether another core than this may hold now. Example: `acceptor.grantedToOther(self, now)`.
+  /// Whether another core than this one may have a lease now.
   bool grantedToOther(CoreId core, MonotonicTime now) const;
-  /// Whether a copy of this epoch from this core may still be taken. Example: in the backup.
+  /// Whether a backup may still take a replica of this epoch from this core.
   bool allowsReplica(Epoch epoch, CoreId from) const;
-  /// This machine's own candidate gave up and holds nothing: its vote is free at once.
+  /// The candidate on this machine gave up and has no lease: this vote is free at once.
   void release(CoreId core) {
     if (grantedTo_ == core) grantedUntil_ = kNever;
   }
-  /// Grants this core to vouch for its part, if nobody else holds a grant and the views are equal.
-  /// `sentAt` is the asker's own stamp. Example: `acceptor.grantReadLease(core, view, sentAt,
-  /// now)`.
+  /// Grants a read lease to this core if no other core has a lease and the views are equal.
+  /// `sentAt` is the time of the request by the requester's clock.
   bool grantReadLease(CoreId core, const View& view, MonotonicTime sentAt, MonotonicTime now);
-  /// Who holds a live grant; 0: nobody. Example: told with a decline.
+  /// Who has an unexpired lease of this acceptor; 0: nobody. Sent along with a rejection.
   CoreId grantedTo(MonotonicTime now) const { return now < grantedUntil_ ? grantedTo_ : CoreId{}; }
-  /// Whether its disk is good. Example: told with each answer to a read-only leader.
+  /// Whether its disk works, so that it votes. Sent along with each answer to a read-only leader.
   bool votes() const { return !suspect_; }
-  /// Time passed: a clock that leapt between two ticks must not end a grant early.
-  /// Example: each tick, before anything else.
+  /// Extends the lease if the clock jumped between two ticks, so that a jump doesn't end it early.
+  /// Called first in each tick.
   void notice(MonotonicTime now);
-  /// A bad disk: it votes for nothing more in this life of the process.
+  /// The disk is bad: the acceptor doesn't vote any more until the process is restarted.
   void suspect() { suspect_ = true; }
-  /// Since when a write of its record is under way; `kForever` if none is.
+  /// When the write under way began; `kForever` if there is none.
   MonotonicTime writingSince() const { return inFlight_ ? writingSince_ : kForever; }
 
  private:
@@ -101,7 +101,7 @@
   MonotonicTime writingSince_ = kForever;
   TicketId ticket_;
   std::deque<Waiting> queue_;
-  MonotonicTime grantsNothingUntil_;  // after a start it grants nothing for one hold
+  MonotonicTime grantsNothingUntil_;  // one lease from the start of the process
   CoreId grantedTo_;
   MonotonicTime grantedUntil_ = kNever;
   bool grantIsReadLease_ = false;
@@ -110,11 +110,12 @@
   bool suspect_ = false;
 };
 
-/// A file name that sorts by its number. Example: `numbered("voter", 7)`.
+/// A file name with a zero-padded number, so that names sort by it. Example: `numbered("voter",
+/// 7)`.
 std::string numbered(std::string_view prefix, std::uint64_t number);
-/// The content of a file with its checksum in front. Example: `sealed("{}")`.
+/// The content of a file with its checksum in front.
 std::string sealed(std::string_view content);
-/// Opens a sealed content; empty if torn. Example: `opened(sealed("{}")) == "{}"`.
+/// The content without its checksum; empty if the checksum doesn't match, as after a torn write.
 std::optional<std::string> opened(std::string_view file);
 
 }  // namespace peppergate
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -11,7 +11,7 @@
       options_(options),
       replica_(std::move(copy)),
       view_(acceptor.record().accepted) {
-  // The replica's tag is an epoch that some leader used; this core may have been that leader.
+  // The replica's tag is an epoch that a leader used, possibly this core; it isn't used again.
   seen_ = std::max({acceptor.record().promised, view_.epoch, replica_.tag});
 }
 
@@ -54,10 +54,10 @@
   if (suspect_) return;
   watchDisk(now, outbox);
   if (stalled_) return;
-  if (leading_ && !leads(now)) stepDown(now, outbox, "the hold ran out");
+  if (leading_ && !leads(now)) stepDown(now, outbox, "its lease ran out");
   yieldWhenLeaving(now, outbox);
   giveUpHopelessElection(now, outbox);
-  // While it gathers it asks again, too: grants to the last primary may just be running out.
+  // A candidate repeats its requests, too: leases of the last leader may be about to run out.
   bool renews = leading_ || bootstrapping_ || phase_ == LeaderPhase::kPreparing ||
                 phase_ == LeaderPhase::kReplicating || phase_ == LeaderPhase::kAccepting;
   if (renews && now >= nextRenewal_) renewOrContest(now, outbox);
@@ -69,8 +69,8 @@
     case LeaderPhase::kPreparing:
     case LeaderPhase::kReplicating:
     case LeaderPhase::kAccepting:
-      // Gathering waits longer: a late renewal of the last primary may still bind one vote, and
-      // a rival is noticed by its votes, not by time.
+      // Preparing has a longer timeout: a late renewal of the last leader may still bind a vote,
+      // and a rival is detected by its votes rather than by a timeout.
       if (now - phaseSince_ >
           options_.replicateTimeout * (phase_ == LeaderPhase::kPreparing ? 3 : 1))
         giveUpPhase(now, outbox);
@@ -90,10 +90,10 @@
   for (const auto& [ticket, write] : writes_) oldest = std::min(oldest, write.since);
   bool hangs = oldest != kForever && now - oldest > options_.syncTimeout;
   if (hangs == stalled_) return;
-  stalled_ = hangs;  // until the write comes back whole
+  stalled_ = hangs;  // until the write is done
   if (!hangs) return;
   outbox.count("disk.stalled");
-  if (leading_ || phase_ != LeaderPhase::kFollowing) stepDown(now, outbox, "the disk stalls");
+  if (leading_ || phase_ != LeaderPhase::kFollowing) stepDown(now, outbox, "the disk stalled");
 }
 
 void Leadership::prepare(View wanted, MonotonicTime now, Outbox& outbox, bool bootstraps) {
@@ -102,7 +102,7 @@
   wanted_.epoch = seen_;
   old_ = acceptor_.record().accepted.epoch > view_.epoch ? acceptor_.record().accepted : view_;
   bootstrapping_ = bootstraps;
-  if (bootstraps) {  // those who may found, whatever they accepted
+  if (bootstraps) {  // the bootstrappers vote, whatever they accepted
     old_.voters = wanted_.voters;
     old_.formerVoters.clear();
   }
@@ -119,8 +119,8 @@
 }
 
 void Leadership::raiseEpoch(MonotonicTime now, Outbox& outbox) {
-  // A voter that promised a higher epoch to another candidate never grants this one, also when that
-  // candidate has given up; those that granted it grant a higher one, too.
+  // A voter that promised a higher epoch to another candidate never grants this one, even after
+  // that candidate has given up; voters that granted this one grant a higher one, too.
   MonotonicTime since = phaseSince_;
   prepare(wanted_, now, outbox);
   phaseSince_ = since;
@@ -129,10 +129,10 @@
 
 void Leadership::renew(MonotonicTime now, Outbox& outbox) {
   nextRenewal_ = now + options_.leaseRenewal;
-  Epoch epoch = std::max(view_.epoch, leaseEpoch_);  // a gathered epoch is never gone back on
+  Epoch epoch = std::max(view_.epoch, leaseEpoch_);  // never below a promised epoch
   std::set<CoreId> asked = allVoters(view_);
   asked.insert(wanted_.voters.begin(), wanted_.voters.end());
-  asked.insert(self());  // its own promise makes the epoch durable here before it is used
+  asked.insert(self());  // its own promise makes the epoch durable before it is used
   PrepareKind kind = bootstrapping_ ? PrepareKind::kBootstrap : PrepareKind::kLease;
   for (CoreId voter : asked)
     outbox.send(membership_.addressOf(voter), PrepareRequest{epoch, self(), now, kind});
@@ -146,7 +146,7 @@
   seen_ = std::max({seen_, answer.promised, answer.accepted.epoch});
   noteAccepted(answer.accepted, "a voter accepted a newer view", now, outbox);
   if (phase_ == LeaderPhase::kPreparing && !bootstrapping_) {
-    // Accepted but unsettled counts as the view, too.
+    // A view that was accepted may be settled, so it counts as the predecessor.
     if (answer.accepted.epoch > old_.epoch) old_ = answer.accepted;
     bool known = answer.accepted.epoch == old_.epoch && answer.accepted.formerVoters.empty();
     if (known) old_.formerVoters.clear();
@@ -160,7 +160,7 @@
   auto round = renewals_.find(answer.sentAt.microseconds);
   if (round != renewals_.end()) {
     round->second.insert(answer.voter);
-    // The hold counts from the moment the question was sent, by a majority of the newest voters.
+    // The lease counts from the time of the request, and needs a majority of the newest voters.
     if (holds(round->second))
       leaseUntil_ = std::max(leaseUntil_, answer.sentAt + options_.leaseStop);
   }
@@ -171,21 +171,21 @@
   }
   promised_.insert(answer.voter);
   rivalVoters_.erase(answer.voter);
-  // An epoch whose number a power loss could take back might be used twice, for two states.
+  // An epoch that isn't on this disk could be used again after a power loss, for another state.
   const AcceptorRecord& own = acceptor_.record();
   bool ownPromise = own.promised == wanted_.epoch && own.promisedTo == self();
   if (ownPromise && quorum(promised_, old_)) prepared(now, outbox);
 }
 
 void Leadership::watchFinalViews(const PrepareReply& answer, Outbox& outbox) {
-  // A voter that missed the acceptance is told again: a read-only leader's pair has to name equal
-  // views.
+  // A voter that missed the acceptance is told again: a read-only leader and its grantors need
+  // equal views.
   View final = settledView();
   if (answer.accepted != final) {
     outbox.send(membership_.addressOf(answer.voter), AcceptRequest{final, false});
     return;
   }
-  // Until a majority has it on disk, the former voters may be asked again, so that none may leave.
+  // Until a majority has it on disk, the former voters may be needed again, so none may leave.
   finalVoters_.insert(answer.voter);
   if (view_.formerVoters.empty() || !majority(finalVoters_, view_.voters)) return;
   view_ = old_ = chosen_ = final;
@@ -200,39 +200,40 @@
 
 bool Leadership::holds(const std::set<CoreId>& round) const {
   const View& counted = leading_ ? view_ : (phase_ == LeaderPhase::kPreparing ? old_ : wanted_);
-  // A view that was proposed since may be settled without this core having heard of it; then
-  // another may hold by a majority of its voters.
+  // A view that was proposed since may be settled unknown to this core; then another core may have
+  // a lease from a majority of its voters.
   return quorum(round, counted) && std::ranges::all_of(proposed_, [&](const auto& voters) {
            return majority(round, voters);
          });
 }
 
 void Leadership::heardRejection(const PrepareReply& answer, MonotonicTime now, Outbox& outbox) {
-  // A voter that promised a higher epoch elsewhere is only won back by a higher one.
+  // A voter that promised a higher epoch to another core only grants an even higher one.
   if (answer.promised > std::max(view_.epoch, leaseEpoch_)) recapture_ = true;
   if (phase_ != LeaderPhase::kPreparing || leading_ || answer.epoch != wanted_.epoch) return;
-  if (answer.promised >= wanted_.epoch) recapture_ = true;  // to another, by this very number
+  if (answer.promised >= wanted_.epoch) recapture_ = true;  // to another, by equal number
   declined_.insert(answer.voter);
-  // A promise beyond what the voter accepted is a rival's; else the last leader's lease runs out
-  // soon.
+  // A promise above the accepted epoch was given to a rival; otherwise the lease belongs to the
+  // last leader and runs out soon.
   if (answer.promised > answer.accepted.epoch) rivalVoters_.insert(answer.voter);
   bool half = declined_.size() * 2 >= old_.voters.size();
-  if (majority(declined_, old_.voters) || half) yieldToRival(now, outbox);  // it can't win now
+  if (majority(declined_, old_.voters) || half) yieldToRival(now, outbox);  // can't win now
 }
 
 void Leadership::prepared(MonotonicTime now, Outbox& outbox) {
   bool entitled = isMember(old_, self()) && replica_.tag >= old_.base;
   if (!entitled && !ignoresReplicaTag()) {
-    outbox.push(NoteState{"core: no intact member of the last view, stands down"});
+    outbox.push(
+        NoteState{"core: candidate has no intact replica of the last view, gives up the election"});
     if (leading_) phase_ = LeaderPhase::kLeading;
-    else yieldVotes(outbox);  // an eligible candidate finds them free
+    else yieldVotes(outbox);  // frees them for an eligible candidate
     nextTry_ = now + seconds(1);
     return;
   }
   phaseSince_ = now;
   if (takingOver_) {
-    // First lead with the same members: nothing is acknowledged in such a view, so whichever of
-    // them had everything still has it.
+    // The first view keeps the same members: nothing is acknowledged in it, so that the member
+    // which had all acknowledged changes still has them.
     wanted_.primary = self();
     wanted_.backups = old_.backups;
     if (old_.primary != self()) {
@@ -249,7 +250,8 @@
 }
 
 void Leadership::repeat(Outbox& outbox) {
-  // One lost message must not cost a whole try: what is unanswered goes out with each renewal.
+  // Unanswered requests are sent again with each renewal, so that one lost message doesn't fail the
+  // whole attempt.
   if (phase_ == LeaderPhase::kAccepting) requestAcceptance(outbox);
   if (phase_ == LeaderPhase::kBootstrapping && bootstrapping_ && ownSynced_)
     prepareBootstrappers(outbox);
@@ -283,9 +285,9 @@
   }
   outbox.count("views.settled");
   if (!view_.formerVoters.empty()) announceSettled(outbox);
-  outbox.push(NoteState{"core: leads view " + std::to_string(view_.epoch.value) +
-                        (unconfirmed_ ? ", unconfirmed" : " with its backups")});
-  if (batchState_ && !unconfirmed_) {  // both copies of the new view hold the waiting batch
+  outbox.push(NoteState{"core: leads the view of epoch " + std::to_string(view_.epoch.value) +
+                        (unconfirmed_ ? ", unconfirmed" : ", confirmed by its backups")});
+  if (batchState_ && !unconfirmed_) {  // all replicas of the new view have the waiting batch
     ownSynced_ = true;
     synced_.insert(view_.backups.begin(), view_.backups.end());
     finishBatch(now, outbox);
@@ -304,14 +306,15 @@
     batch_.insert(batch_.end(), yes.answers.begin(), yes.answers.end());
   pendingAcknowledgements_.clear();
   for (auto& [to, answer] : batch_) {
-    answer.outcome = ChangeOutcome::kLost;  // it may be in force later or not
-    answer.detail = "the primary gave up its duty before the yes; repeat with the same change id";
+    answer.outcome = ChangeOutcome::kLost;  // it may be applied later or not
+    answer.detail =
+        "the primary stepped down before the acknowledgement; repeat with the same change id";
     answerChange(to, answer, outbox);
   }
   batch_.clear();
   refuseWaiting(ChangeOutcome::kNotPrimary, outbox);
   nextTry_ = now + milliseconds(100 + static_cast<std::int64_t>(random_.below(300)));
-  if (leaving()) freeSince_ = now;  // those that stay go first
+  if (leaving()) freeSince_ = now;  // cores that stay campaign first
   outbox.count("views.steppedDown");
   outbox.push(NoteState{"core: stepped down, " + std::string(why)});
 }
@@ -322,17 +325,18 @@
   acceptor_.suspect();
   outbox.count("disk.suspect");
   stepDown(phaseSince_, outbox, "the disk is suspect");
-  membership_.leave(outbox);  // its vote and its copy go to others, as those of a lost machine do
+  membership_.leave(outbox);  // other cores take over its vote and its replica
 }
 
 bool Leadership::mayShow() const {
-  // What only this disk may hold is kept back until a confirmed view has it on all its disks.
+  // Changes that may be on this disk only aren't shown before all disks of a confirmed view have
+  // them.
   return !unconfirmed_ || isBootstrap(view_) || published_.sections() == shown_ ||
          options_.faults.has(ControlFault::kTailShown);
 }
 
 void Leadership::noteHeardOf(const View& view, MonotonicTime now, Outbox& outbox) {
-  if (idle()) noteAccepted(view, "a newer view is heard of", now, outbox);
+  if (idle()) noteAccepted(view, "another member reported a newer view", now, outbox);
 }
 
 void Leadership::noteChosen(const View& view, MonotonicTime now, Outbox& outbox) {
--- a/src/core/leadership_acceptance.cc
+++ b/src/core/leadership_acceptance.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that proposes a view and counts who accepts it.
+// The part of Leadership that proposes a view and counts the voters that accept it.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -9,9 +9,11 @@
 void Leadership::propose(MonotonicTime now, Outbox& outbox) {
   bool meet = majoritiesMeet(wanted_.voters, old_.voters) ||
               options_.faults.has(ControlFault::kOneMajorityOfVoters);
-  if (!meet) {  // never proposed, whatever wanted it
+  if (!meet) {  // never proposed, for whatever reason it was wanted
     outbox.count("views.unsafe");
-    outbox.push(NoteState{"core: a view whose voters' majorities needn't meet is not proposed"});
+    outbox.push(
+        NoteState{"core: a view whose majorities need not intersect those of its predecessor is "
+                  "not proposed"});
     giveUpPhase(now, outbox);
     return;
   }
@@ -40,7 +42,7 @@
   if (answer.epoch != wanted_.epoch || !answer.accepted) {
     bool here = phase_ == LeaderPhase::kBootstrapping && answer.epoch == wanted_.epoch;
     if (here && !bootstrapping_) {
-      outbox.push(NoteState{"core: founding declined, a voter belongs to a fleet already"});
+      outbox.push(NoteState{"core: bootstrap rejected; a voter already belongs to a fleet"});
       bootstrap_.cores = 0;
       phase_ = LeaderPhase::kFollowing;
     } else if (here) {
--- a/src/core/leadership_bootstrap.cc
+++ b/src/core/leadership_bootstrap.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that founds a fleet. The argument is in docs/design-views.md.
+// The part of Leadership that bootstraps a new fleet. See docs/design-views.md for the proof.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -6,8 +6,8 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFounderTurn = seconds(2);  // so long the next founder leaves to the one before
-constexpr Duration kMissedFounder = seconds(2);  // so long one is waited for that is not seen
+constexpr Duration kFounderTurn = seconds(2);    // delay of each listed core after the one before
+constexpr Duration kMissedFounder = seconds(2);  // wait for listed cores that aren't known yet
 
 }  // namespace
 
@@ -19,7 +19,7 @@
 bool Leadership::mayBootstrap() const {
   bool listed =
       std::ranges::find(bootstrap_.voters, membership_.self().address) != bootstrap_.voters.end();
-  // Who leads a bootstrap view, or may, goes on with it; all others may replace it.
+  // A core that leads a bootstrap view, or may lead it, keeps it; all others may replace it.
   return bootstrap_.first && listed && isBootstrap(view_) && view_.primary != self();
 }
 
@@ -55,7 +55,7 @@
 }
 
 void Leadership::heardBootstrapper(const PrepareReply& answer, MonotonicTime now, Outbox& outbox) {
-  if (!isBootstrap(answer.accepted)) {  // a fleet is there already
+  if (!isBootstrap(answer.accepted)) {  // the fleet exists already
     yieldVotes(outbox);
     return;
   }
@@ -64,7 +64,7 @@
 }
 
 void Leadership::bootstrapWithPromised(MonotonicTime now, Outbox& outbox) {
-  // Whatever bootstrap view a voter may have accepted, its state is the founded one.
+  // Any bootstrap view that a voter may have accepted has the same initial state.
   wanted_.base = wanted_.epoch;
   wanted_.voters.assign(promised_.begin(), promised_.end());
   accepted_.clear();
--- a/src/core/leadership_election.cc
+++ b/src/core/leadership_election.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that stands for election, and gives its votes back where it can't win.
+// The part of Leadership that campaigns, and releases its votes where it can't win.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -7,9 +7,9 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kTurn = milliseconds(200);        // between members that stand in their order
-constexpr Duration kLatePromise = seconds(0.3);      // for founders' promises beyond a majority
-constexpr Duration kLeaverTurn = milliseconds(800);  // that a leaving machine waits for the others
+constexpr Duration kTurn = milliseconds(200);        // between members that campaign in their order
+constexpr Duration kLatePromise = seconds(0.3);      // wait for more bootstrappers than a majority
+constexpr Duration kLeaverTurn = milliseconds(800);  // extra delay of a core that is shutting down
 
 }  // namespace
 
@@ -19,8 +19,8 @@
     bootstrapWithPromised(now, outbox);
     return;
   }
-  // Who can't reach a majority holds no votes for long: a read-only leader of its part may need
-  // them.
+  // A candidate that can't reach a majority soon releases its votes: a read-only leader on its side
+  // of the partition may need them.
   std::set<CoreId> answered = promised_;
   answered.insert(declined_.begin(), declined_.end());
   if (now - phaseSince_ <= seconds(0.7) || quorum(answered, old_)) return;
@@ -38,7 +38,7 @@
 }
 
 void Leadership::yieldVotes(Outbox& outbox) {
-  // It holds nothing, so all votes that it has are free for another at once.
+  // It has no lease, so all votes for it are free for other candidates at once.
   releasing_ =
       PrepareRequest{std::max(view_.epoch, leaseEpoch_), self(), {}, PrepareKind::kRelease};
   sendRelease(*releasing_, outbox);
@@ -58,7 +58,7 @@
 
 void Leadership::renewOrContest(MonotonicTime now, Outbox& outbox) {
   bool prepares = phase_ == LeaderPhase::kPreparing && !bootstrapping_;
-  // Of two rivals that wait for each other's votes the one with fewer gives way, both at a tie.
+  // Of two rivals that wait for each other's votes, the one with fewer yields; at a tie both do.
   bool outvoted = !rivalVoters_.empty() && rivalVoters_.size() >= promised_.size();
   if (prepares && !leading_ && outvoted) yieldToRival(now, outbox);
   else if (prepares && recapture_) raiseEpoch(now, outbox);
@@ -74,21 +74,21 @@
     nextTry_ = now + milliseconds(static_cast<std::int64_t>(random_.below(300)));
     return;
   }
-  // Two candidates that each hold their own vote shut each other out. Each gives all votes back
-  // and waits for a time of its own, so that one of them finds them free.
+  // Two candidates that each have their own vote block each other. Each releases all votes and
+  // retries after a random delay, so that one of them finds the votes free.
   yieldVotes(outbox);
   nextTry_ = now + milliseconds(static_cast<std::int64_t>(random_.below(1500)));
 }
 
 std::size_t Leadership::succession() const {
-  // The first backup, and who led before, go first; the others leave them a moment.
+  // The first backup and the former leader campaign first; the others wait for their turn.
   auto found = std::ranges::find(view_.backups, self());
   if (found != view_.backups.end()) return static_cast<std::size_t>(found - view_.backups.begin());
   return view_.primary == self() ? 0 : view_.backups.size();
 }
 
 bool Leadership::campaignDue(MonotonicTime now) {
-  if (!started_) {  // after a common power loss not all stand in the same moment
+  if (!started_) {  // after a common power loss not all campaign at the same time
     started_ = true;
     bool untouched = acceptor_.record().promised.value == 0 && view_.epoch.value == 0;
     Duration turn = kTurn * static_cast<double>(succession() + (view_.primary == self() ? 0 : 1));
@@ -120,7 +120,7 @@
   Duration turn =
       kTurn * static_cast<double>(succession()) + (leaving() ? kLeaverTurn : Duration{});
   if (now - freeSince_ < turn) return;
-  // Without a majority in sight standing would only raise epochs and bind votes.
+  // Without a reachable majority a campaign would only raise epochs and bind votes.
   std::set<CoreId> seen;
   for (CoreId voter : allVoters(view_))
     if (!membership_.addressOf(voter).value.empty()) seen.insert(voter);
--- a/src/core/leadership_leaving.cc
+++ b/src/core/leadership_leaving.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that hands a leaving machine's duties over before its process ends.
+// The part of Leadership that hands over a core's leadership, vote and replica at shutdown.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -7,8 +7,8 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFinishWithin = seconds(1.5);  // changes that are under way when it is told
-constexpr Duration kGraceMargin = seconds(1);     // between the end in order and a kill
+constexpr Duration kFinishWithin = seconds(1.5);  // for changes under way when the shutdown begins
+constexpr Duration kGraceMargin = seconds(1);     // before the process would be killed
 
 }  // namespace
 
@@ -35,9 +35,9 @@
 bool Leadership::gone(MonotonicTime now) const {
   if (!leaving() || leading_ || releasing_) return false;
   if (options_.faults.has(ControlFault::kLeaverEndsEarly)) return true;
-  // Where the whole fleet stops nobody can take anything over; the disks keep it.
+  // If the whole fleet shuts down, no core can take over; the disks keep the state.
   if (suspect_ || graceIsOver(now) || !anyoneStays()) return true;
-  // A view that this core accepted may never come to be, so the newest settled one counts, too.
+  // A view that this core accepted may never be settled, so the newest settled one counts, too.
   return !hasDuty();
 }
 
@@ -46,11 +46,11 @@
   bool idle = !batchState_ && pendingAcknowledgements_.empty() && waiting_.empty() &&
               phase_ == LeaderPhase::kLeading;
   bool handedOver = idle && !unconfirmed_;
-  // A machine that had to lead although it leaves may be the only one with the state: it goes on
+  // A core that became leader during its shutdown may be the only one with the state: it leads
   // until others have it.
   bool tookOver = ledSince_ > leavingSince_;
   bool late = tookOver ? graceIsOver(now) : now - leavingSince_ > kFinishWithin;
-  if (handedOver || late) stepDown(now, outbox, "it leaves");
+  if (handedOver || late) stepDown(now, outbox, "this core is shutting down");
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_reconfiguration.cc
+++ b/src/core/leadership_reconfiguration.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that gives seats to newcomers and chooses backups.
+// The part of Leadership that adds and removes voters and chooses backups.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -7,8 +7,8 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFresh = seconds(0.75);       // heard of within two renewals
-constexpr Duration kNewcomerKnown = seconds(1);  // so long before a seat is added for one
+constexpr Duration kFresh = seconds(0.75);       // heard from within two lease renewals
+constexpr Duration kNewcomerKnown = seconds(1);  // time as a member before a newcomer may vote
 constexpr Duration kForget = seconds(60);
 
 }  // namespace
@@ -21,7 +21,7 @@
             .first->second;
     MonotonicTime last =
         now - (record.core == self() ? Duration{} : membership_.silence(record.member, now));
-    if (sight.known && last < sight.last) continue;  // an earlier life of the same core
+    if (sight.known && last < sight.last) continue;  // an earlier process of the same core
     sight.known = true;
     sight.last = std::max(sight.last, last);
     sight.address = record.address;
@@ -114,7 +114,7 @@
   std::vector<CoreId> voters = view_.voters;
   bool comes = newcomer.value != 0;
   bool even = voters.size() % 2 == 0;
-  // One voter of an odd set can't be replaced in one view: the majorities needn't meet.
+  // A voter of an odd set can't be replaced in one step: the majorities need not intersect.
   bool atOnce = even || options_.faults.has(ControlFault::kOneMajorityOfVoters);
   if (comes && atOnce) std::ranges::replace(voters, voter, newcomer);
   else if (voters.size() > leastVoters()) std::erase(voters, voter);
@@ -123,13 +123,13 @@
 }
 
 std::vector<CoreId> Leadership::wantedVoters(MonotonicTime now) const {
-  // A proposal that nobody is known to have settled may be settled all the same: until one is,
-  // only the same voters are proposed again, for two different changes of one view share no quorum.
+  // A proposal may be settled unknown to this core: until one is known to be, only the same voters
+  // are proposed again, since the quorums of two different changes of one view may not intersect.
   if (!proposed_.empty()) return proposed_.back();
   if (view_.voters.empty()) return {};
   const std::vector<Newcomer> coming = newcomers(now);
   const CoreId first = coming.empty() ? CoreId{} : coming.front().core;
-  // The first to go is one whose machine came back with another disk.
+  // A voter whose machine came back with a new disk is removed first.
   if (CoreId voter = supersededVoter(now); voter.value != 0) {
     auto back = std::ranges::find(coming, peers_.at(voter).address, &Newcomer::address);
     return makeRoomFrom(voter, back == coming.end() ? first : back->core);
@@ -143,7 +143,7 @@
     bool room = first.value != 0 || bearsTooFewLosses(now);
     return room ? makeRoomFrom(longest, first) : view_.voters;
   }
-  // A new slot only while all are held: a newcomer may stand for one that is just being missed.
+  // A slot is added only while all voters respond: the newcomer may be needed as a replacement.
   std::vector<CoreId> voters = view_.voters;
   if (voters.size() >= static_cast<std::size_t>(options_.voterSlots)) return voters;
   if (silent(longest, now) > kFresh) return voters;
@@ -164,7 +164,7 @@
 }
 
 bool Leadership::changeDue(const View& wanted, MonotonicTime now) const {
-  // With fewer machines than copies are owed there is no yes, and nothing to be gained.
+  // With fewer machines than replicas are required nothing is acknowledged in any view.
   if (wanted.backups.size() < static_cast<std::size_t>(options_.backups)) return false;
   bool same = wanted.backups == view_.backups && wanted.voters == view_.voters;
   return !same || unconfirmed_ || stuck(now) || recapture_;
@@ -172,16 +172,16 @@
 
 void Leadership::considerViewChange(MonotonicTime now, Outbox& outbox) {
   yieldsBatch_ = false;
-  // A machine that leaves only sees to it that others have the state.
+  // A core that is shutting down changes the view only until others have the state.
   if (now < nextTry_ || !leads(now) || (leaving() && !unconfirmed_)) return;
   std::erase_if(failedReplicas_,
                 [&](const auto& entry) { return now - entry.second > seconds(5); });
   View wanted = wantedView(now);
   if (!changeDue(wanted, now)) return;
   yieldsBatch_ = (batchState_ && !stuck(now)) || !writes_.empty();
-  if (yieldsBatch_) return;  // after this one, before the next
+  if (yieldsBatch_) return;  // changes the view after this batch, before the next one
   nextTry_ = now + milliseconds(200);
-  unconfirmed_ = true;  // from here on nothing is acknowledged until a higher view is settled
+  unconfirmed_ = true;  // nothing is acknowledged from now on until a newer view is settled
   takingOver_ = false;
   prepare(std::move(wanted), now, outbox);
 }
--- a/src/core/leadership_replication.cc
+++ b/src/core/leadership_replication.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that writes copies, batches changes and recruits.
+// The part of Leadership that writes replicas and applies changes in batches.
 #include <algorithm>
 
 #include "core/leadership.h"
@@ -41,7 +41,7 @@
 }
 
 void Leadership::writeReplica(Write write, Outbox& outbox) {
-  if (!writes_.empty()) {  // one write at a time; only the newest waits
+  if (!writes_.empty()) {  // one write at a time; only the newest one is queued
     if (queuedWrite_ && queuedWrite_->own) ownSynced_ = false;
     queuedWrite_ = std::move(write);
     return;
@@ -60,7 +60,7 @@
   Write write = std::move(found->second);
   writes_.erase(found);
   if (!event.synced && options_.guards(Guard::kSyncFailure)) {
-    outbox.push(NoteState{"core: a sync failed, the file counts as unwritten"});
+    outbox.push(NoteState{"core: a sync failed; the file counts as not written"});
     suspect(outbox);
     return true;
   }
@@ -75,7 +75,7 @@
   }
   if (!write.own) {
     hasPublished_ = false;  // the state on this disk is another leader's now
-    // The promise may have gone elsewhere while the disk worked: then there is no yes.
+    // No acknowledgement if another core was promised a higher epoch during the write.
     bool good = acceptor_.allowsReplica(write.ask.epoch, write.ask.from);
     if (good)
       outbox.send(write.answerTo, ReplicateReply{write.ask.epoch, self(), write.ask.version, true});
@@ -106,8 +106,8 @@
 void Leadership::hear(const Address& from, const ReplicateRequest& ask, MonotonicTime now,
                       Outbox& outbox) {
   seen_ = std::max(seen_, ask.epoch);
-  // A late copy of a former leader must not take the place of one that is still being written,
-  // nor end a newer duty here.
+  // A delayed replica of a former leader must not replace one that is still being written, nor end
+  // a newer leadership or candidacy of this core.
   bool fits = ask.joining ? ask.epoch >= newestTag() : ask.epoch == newestTag();
   bool outdated = !idle() && ask.epoch < std::max(view_.epoch, leaseEpoch_);
   if (suspect_ || stalled_ || !fits || outdated || !acceptor_.allowsReplica(ask.epoch, ask.from)) {
@@ -123,7 +123,7 @@
   if (options_.faults.has(ControlFault::kRememberedOrdersDropped)) state->forgetTakenOrders();
   bool sameVersion = ask.epoch == replica_.tag && replica_.state.version() == state->version();
   if (sameVersion && replica_.state.text() != state->text()) {
-    outbox.count("copies.forked");  // never call another content the same state
+    outbox.count("copies.forked");  // equal versions with unequal contents are never synced
     outbox.send(from, ReplicateReply{ask.epoch, self(), ask.version, false});
     return;
   }
@@ -155,7 +155,8 @@
 }
 
 void Leadership::heardReplicateRejection(const ReplicateReply& answer, MonotonicTime now) {
-  // Its disk is bad, or it promised elsewhere: another may take the copy at once.
+  // Its disk is bad, or it promised a higher epoch to another core: another core may become the
+  // backup at once.
   if (!leading_) return;
   failedReplicas_[answer.from] = now;
   if (phase_ != LeaderPhase::kReplicating) return;
@@ -204,7 +205,7 @@
 
 void Leadership::startBatch(MonotonicTime now, Outbox& outbox) {
   if (phase_ != LeaderPhase::kLeading || batchState_ || !writes_.empty() || yieldsBatch_) return;
-  if (unconfirmed_) {  // changes wait a moment for a backup, then are declined, typed
+  if (unconfirmed_) {  // changes wait for a backup, then are rejected with their own outcome
     std::erase_if(waiting_, [&](const WaitingChange& change) {
       if (now - change.since < options_.replicateTimeout) return false;
       answerChange(change.from, replyTo(change.ask, ChangeOutcome::kNoBackup), outbox);
@@ -213,7 +214,7 @@
     return;
   }
   if (!names(now)) return;
-  // Most ticks bring nothing to do; copying a large state for them would take all of a core.
+  // Most ticks have nothing to do; copying a large state in each one would use up a CPU core.
   if (waiting_.empty() && batch_.empty() && newerSeen_ == SectionVersions{}) return;
   ControlState draft = replica_.state;
   SectionVersion before = draft.version();
@@ -224,13 +225,13 @@
     ChangeReply answer = draft.apply(change.ask.change, change.ask.changeId, view_.epoch, options_);
     answer.ticket = change.ask.ticket;
     answer.changeId = change.ask.changeId;
-    // What was judged on a draft holds only once the draft is published.
+    // An outcome that depends on earlier changes of the draft is valid only once it is published.
     const bool onPublished = draft.version() == before;
     if (answer.outcome != ChangeOutcome::kDone && onPublished)
       answerChange(change.from, answer, outbox);
     else batch_.emplace_back(change.from, answer);
   }
-  if (draft.version() == before) {  // only repeats of what was acknowledged before
+  if (draft.version() == before) {  // only repetitions of applied changes
     if (!batch_.empty())
       pendingAcknowledgements_.push_back(
           {published_.sections(), publishedAt_, std::exchange(batch_, {})});
@@ -252,7 +253,7 @@
       requestWitnesses(*batchState_, outbox);
     if (!witnessed(*batchState_)) return;
   }
-  if (!leads(now)) return;  // the tick steps down and answers "lost"
+  if (!leads(now)) return;  // the next tick steps down and answers "lost"
   published_ = *batchState_;
   named_ = true;
   publishedAt_ = now;
@@ -263,7 +264,7 @@
 }
 
 void Leadership::refuseOfBatch(Outbox& outbox) {
-  // Acknowledgements wait for the fronts; a refusal changes nothing there.
+  // Acknowledgements wait for the routers; a refusal changes nothing there and is sent at once.
   std::erase_if(batch_, [&](const auto& entry) {
     const auto& [to, answer] = entry;
     if (answer.outcome == ChangeOutcome::kDone) return false;
@@ -274,8 +275,8 @@
 
 void Leadership::acknowledge(const std::function<bool(const SectionVersions&)>& inForce,
                              MonotonicTime now, Outbox& outbox) {
-  // A front without this news may still allow streams on a proof from before it. Its proof runs
-  // out within the bound that counts from the yes, if the yes waits that long.
+  // A router without these sections may still allow streams because of an older proof. If the
+  // acknowledgement waits that long, the proof expires within the bound that counts from it.
   while (!pendingAcknowledgements_.empty() && leads(now)) {
     PendingAcknowledgement& yes = pendingAcknowledgements_.front();
     if (now - yes.since < options_.acknowledgementWait && !inForce(yes.sections)) return;
--- a/src/core/leadership_witnesses.cc
+++ b/src/core/leadership_witnesses.cc
@@ -1,4 +1,4 @@
-// The part of Leadership that has a majority of the voters hold what is acknowledged.
+// The part of Leadership that stores acknowledged state at a majority of the voters.
 #include "core/leadership.h"
 
 namespace peppergate {
@@ -27,7 +27,7 @@
   ask.epoch = view_.epoch;
   ask.version = witnessedState_->version();
   ask.now = witnessedState_->sections();
-  // What was published before is with most voters already; who lacks it says so.
+  // A majority of the voters has the state published before; a voter that lacks it says so.
   SectionVersions before = whole ? SectionVersions{} : published_.sections();
   if (ask.now.setup > before.setup) ask.setup = witnessedState_->setupText();
   if (ask.now.keys > before.keys) ask.keys = witnessedState_->keysText();
@@ -41,7 +41,7 @@
 void Leadership::nameIfWitnessed(MonotonicTime now, Outbox& outbox) {
   if (named_ || !witnessed(published_)) return;
   named_ = true;
-  publishedAt_ = now;  // an order repeated now waits for the routers as its first answer did
+  publishedAt_ = now;  // a repeated change waits for the routers as the first one did
   outbox.count("holders.named");
 }
 
@@ -50,7 +50,7 @@
   const SectionVersions wanted = witnessedState_->sections();
   bool whole = answer.have.setup >= wanted.setup && answer.have.keys >= wanted.keys &&
                answer.have.weights >= wanted.weights;
-  if (!whole) return;  // it gets everything with the next renewal
+  if (!whole) return;  // it gets all sections with the next renewal
   witnesses_.insert(answer.voter);
   if (!majority(witnesses_, view_.voters)) return;
   nameIfWitnessed(now, outbox);
--- a/src/core/quorum.cc
+++ b/src/core/quorum.cc
@@ -5,8 +5,8 @@
 namespace peppergate {
 namespace {
 
-/// The fewest voters of the common part that a majority of a set needs, when it takes as many as it
-/// can from outside of that part.
+/// How many common voters a majority of a set contains at least, if it includes all voters outside
+/// of the common ones.
 std::size_t leastOfCommon(std::size_t voters, std::size_t common) {
   std::size_t outside = voters - common;
   std::size_t majority = majorityOf(voters);
