--- a/src/core/follower.cc
+++ b/src/core/follower.cc
@@ -6,9 +6,9 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kMostQuestions = 32;      // open at once; older answers count no more
+constexpr std::size_t kMostQuestions = 32;      // open requests; answers to older ones are ignored
 constexpr int kRelaysAtOnce = 3;                // members asked in one round
-constexpr Duration kRelayTrust = seconds(0.7);  // two to three rounds without its answer
+constexpr Duration kRelayTrust = seconds(0.7);  // two to three rounds without an answer
 
 }  // namespace
 
@@ -18,7 +18,7 @@
 MonotonicTime Follower::ask(const Address& to, Responder responder, bool relayed, MonotonicTime now,
                             Outbox& outbox) {
   if (to.value.empty() || to == membership_.self().address) return kNever;
-  // Two questions of one instant differ in their stamps, so that each answer finds its own.
+  // Requests sent at the same time get different timestamps, so that each answer finds its request.
   MonotonicTime stamp = std::max(now, lastStamp_ + Duration{1});
   lastStamp_ = stamp;
   questions_[stamp] = {to, responder, now};
@@ -35,8 +35,8 @@
 }
 
 Address Follower::nextRelay() {
-  // All members in turn, in an order of chance: after a cut most of those that are known may be
-  // as far away as the leader, and one that was silent isn't asked again before all others.
+  // All members in turn, in random order: during a partition most known members may be as
+  // unreachable as the leader, and a silent one isn't asked again before all others.
   if (relayTurns_.empty()) {
     for (const auto& record : membership_.live())
       if (record.address != membership_.self().address) relayTurns_.push_back(record.address);
@@ -54,7 +54,7 @@
     outbox.count("proofs.by." + std::string(lastAttester_));
     outbox.push(NoteState{"proofs now from " + std::string(lastAttester_)});
   }
-  // Where no primary is heard, a read-only leader of this part answers in its place.
+  // Without a reachable leader, a read-only leader on this side of the partition answers instead.
   bool noPrimary = now - primaryOrigin_ > options_.stateRequestTimeout + milliseconds(200);
   if (noPrimary && now - readOnlyLeaderHeard_ < seconds(2) &&
       now - askedReadOnlyLeader_ > options_.stateRequestWait) {
@@ -65,7 +65,7 @@
   Address primary = membership_.addressOf(view_.primary);
   bool silent = waiting_ && now - askedPrimary_ > options_.stateRequestTimeout;
   if (!primary.value.empty() && (!waiting_ || silent)) askLeader(primary, false, now, outbox);
-  // Without word from the primary, members that can relay are asked, spread at random.
+  // Without a proof from the leader, other members are asked as relays, with random jitter.
   bool needsRelay = primary.value.empty() ||
                     now - proofOrigin_ > options_.stateRequestTimeout + milliseconds(200);
   if (needsRelay && now - askedRelay_ > milliseconds(200)) {
@@ -75,7 +75,7 @@
 }
 
 void Follower::askRelay(MonotonicTime now, Outbox& outbox) {
-  // Who relayed a younger proof lately is asked again; else members are tried in turn.
+  // A member that recently relayed a younger proof is asked again; else members are tried in turn.
   if (now - relayHeard_ < kRelayTrust) {
     ask(relay_, Responder::kRelay, true, now, outbox);
     return;
@@ -92,7 +92,8 @@
 }
 
 void Follower::askAgain(MonotonicTime now, Outbox& outbox) {
-  // The next question tells the primary what is in force here now: its yes waits for that.
+  // The next request tells the leader which versions are in force here: its acknowledgement of a
+  // change waits for that.
   askLeader(membership_.addressOf(view_.primary), false, now, outbox);
 }
 
@@ -125,7 +126,7 @@
 template <class Reader, class Taker>
 void Follower::installSection(std::string_view name, const Offered& offered, Reader read,
                               Taker take, MonotonicTime now, Outbox& outbox) {
-  // A section goes only upward, and only with a text that reads well.
+  // A section is only replaced by a newer one that can be parsed.
   if (offered.text.empty() || !newer(offered.version, offered.mine)) return;
   auto section = read(offered.text);
   if (!section.ok()) {
@@ -139,7 +140,7 @@
 }
 
 void Follower::takeWeights(Weights weights) {
-  // A daemon that just started can't know how long ago the weights were named.
+  // A process that just started can't know when these weights were published.
   bool first = have_.weights.epoch.value == 0;
   weightsNamedSince_ = first ? kNever : primaryOrigin_;
   if (weights.version > weights_.version) learned_[weights.version] = weightsNamedSince_;
@@ -160,8 +161,8 @@
 
 void Follower::hear(const Address& from, const StateReply& answer, MonotonicTime now,
                     Outbox& outbox) {
-  if (answer.sentAt == kUnsolicited) {  // what was acknowledged, sent ahead of the next question
-    noteView(answer.view);              // only whom to ask: no proof
+  if (answer.sentAt == kUnsolicited) {  // published state, pushed before the next request
+    noteView(answer.view);              // tells whom to ask, but isn't a proof
     std::uint64_t before = changesSeen_;
     install(answer, now, outbox);
     if (changesSeen_ != before) askAgain(now, outbox);
@@ -176,14 +177,14 @@
   noteView(answer.view);
   if (answer.sentAt == leaderQuestion_) {
     waiting_ = false;
-    if (!answer.proof) nextAsk_ = now + milliseconds(100);  // not the primary any more
+    if (!answer.proof) nextAsk_ = now + milliseconds(100);  // no longer the leader
   }
   if (!answer.proof) return;
   noteChosenView(answer.view);
   std::uint64_t before = changesSeen_;
   install(answer, now, outbox);
   if (changesSeen_ != before && !answer.attested) askAgain(now, outbox);
-  // The proof only counts if all that it speaks of is in force here.
+  // The proof only counts if all versions that it names are in force here.
   bool whole = have_.setup >= answer.now.setup && have_.keys >= answer.now.keys &&
                have_.weights >= answer.now.weights;
   if (!whole) {
@@ -191,7 +192,7 @@
     return;
   }
   MonotonicTime origin = question.sentAt - answer.age;
-  // Two members that are cut off together only tell each other of the same old proof.
+  // Two members on the same side of a partition only relay the same old proof to each other.
   bool younger = origin > proofOrigin_;
   if (question.responder == Responder::kRelay && younger &&
       now - origin < options_.proofLimit * 0.7) {
@@ -237,7 +238,7 @@
                     Outbox& outbox) {
   noteView(view);
   noteChosenView(view);
-  if (have_ != state.sections()) {  // writing the texts of a large state takes long
+  if (have_ != state.sections()) {  // serializing a large state is slow
     StateReply answer;
     answer.now = state.sections();
     answer.setup = state.setupText();
--- a/src/core/follower.h
+++ b/src/core/follower.h
@@ -1,5 +1,5 @@
 #pragma once
-// Keeps a daemon's copy of setup, keys and weights fresh, and knows how fresh it is.
+// Keeps a process's copy of the configuration, keys and weights up to date, and tracks its age.
 #include <deque>
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace peppergate {
 
-/// When a version was told here and put in force. Example: read by `peppergate trace`.
+/// When a version arrived at this process and was applied; shown by `peppergate trace`.
 struct InstallRecord {
   std::string section;
   SectionVersion version;
@@ -20,32 +20,33 @@
   MonotonicTime inForce;
 };
 
-/// Example: `if (!follower.fresh(now)) decline("stale");` before each shot.
+/// Follows the control state: asks the leader, or other members as relays, for proofs that the copy
+/// here is the newest, and installs newer sections. Without a fresh proof no new stream may start.
 class Follower : private FollowerCollaborators {
  public:
   Follower(const Options& options, Membership& membership, Random& random);
 
-  /// Asks the primary, or members that relay. Example: `follower.tick(now, outbox);`
+  /// Asks the leader, or members as relays, when due.
   void tick(MonotonicTime now, Outbox& outbox);
-  /// Asks the primary for a proof at once, and members for the newest view where it is silent.
-  /// Example: an operator wants the newest configuration: `askNow(now, outbox)`.
+  /// Asks the leader for a proof at once, and also relays if it is silent; used when an operator
+  /// reads the configuration.
   void askNow(MonotonicTime now, Outbox& outbox);
-  /// Installs what is newer and counts the proof. Example: on a StateReply.
+  /// Installs newer sections of a reply and takes its proof.
   void hear(const Address& from, const StateReply& answer, MonotonicTime now, Outbox& outbox);
-  /// Answers a question from what is known here, with the age it has. Example: as a relay.
+  /// Answers another member's request from the state here, with the age of its proof.
   StateReply relay(const StateRequest& ask, MonotonicTime now) const;
-  /// The primary itself: its own published state is in force here at once.
+  /// Installs the leader's own published state; called on the leader itself.
   void lead(const ControlState& state, const View& view, MonotonicTime now, Outbox& outbox);
-  /// Installs what is newer in texts that are known to last, without any proof.
-  /// Example: what a primary asks this voter to hold.
+  /// Installs newer sections that are known to be durable, without a proof: for instance those that
+  /// a leader asks this voter to store.
   void adopt(const StateReply& news, MonotonicTime now, Outbox& outbox) {
     install(news, now, outbox);
   }
-  /// This core vouches for its part under its hold. Example: `vouch(now)` in a read-only leader.
+  /// Counts as a proof of now: this core is a read-only leader with a valid lease.
   void attest(MonotonicTime now) { proofOrigin_ = std::max(proofOrigin_, now); }
-  /// A read-only leader said where it is. Example: on a ReadLeaderNotification.
+  /// Notes the address of a read-only leader that announced itself.
   void noteReadOnlyLeader(const Address& from, MonotonicTime now, Outbox& outbox);
-  /// Its newer sections for someone who has less. Example: `fill(answer, ask.have)`.
+  /// Adds the sections that are newer than `have`.
   template <class Answer>
   void fill(Answer& answer, const SectionVersions& have) const {
     answer.now = have_;
@@ -53,81 +54,84 @@
     if (have_.keys > have.keys) answer.keys = keysText_;
     if (have_.weights > have.weights) answer.weights = weightsText_;
   }
-  /// Applies a withdrawal at once and passes it on. Example: `withdraw(digest, outbox)`.
+  /// Applies the withdrawal of a key at once and passes it on; returns whether it was new here.
   bool withdraw(const KeyDigest& digest, Outbox& outbox);
-  /// The tombstones to carry in shuffles. Example: `shuffle.withdrawn = recentWithdrawn()`.
+  /// The withdrawn keys to gossip.
   std::vector<KeyDigest> recentWithdrawn() const {
     return {recentWithdrawn_.begin(), recentWithdrawn_.end()};
   }
-  /// Takes a view heard of elsewhere. Example: from the local voter.
+  /// Takes a newer view without a proof, as from the acceptor of this core.
   void noteView(const View& view);
 
-  /// Whether there is a proof young enough for new streams. Example: see the class.
+  /// Whether the newest proof is young enough for new streams.
   bool fresh(MonotonicTime now) const {
     return now - proofOrigin_ < options_.proofLimit || !options_.guards(Guard::kFreshness);
   }
-  /// When the newest proof of a primary itself began. Example: asked by read-only leaders.
+  /// The origin of the newest proof of a leader, not of a read-only one.
   MonotonicTime primaryOrigin() const { return primaryOrigin_; }
-  /// The epoch of the view in which that proof was given; 0 before the first one.
+  /// The highest epoch of a view in which a leader gave a proof; 0 before the first one.
   Epoch primaryEpoch() const { return primaryEpoch_; }
-  /// What the newest proof of a leader showed; empty before the first one.
+  /// The versions in the newest proof of a leader; empty before the first one.
   const SectionVersions& shown() const { return named_; }
-  /// Whether the configuration here is the newest acknowledged one as of a moment: a leader proved
-  /// its state at or after it, and what is installed is exactly what that leader showed. A replica
-  /// may hold a change that was never acknowledged; it is not readable before a leader shows it.
+  /// Whether the configuration here is the newest acknowledged one as of `since`: a leader proved
+  /// its state at or after that time, and exactly that state is installed. A replica may have a
+  /// change that was never acknowledged; it isn't readable before a leader shows it.
   bool readable(MonotonicTime since) const {
     return primaryOrigin_ >= since && have_.setup == named_.setup;
   }
-  /// Whether a live stream may go on: its key may have been withdrawn since the last proof.
+  /// Whether the newest proof is young enough for open streams to continue: a key may have been
+  /// withdrawn since.
   bool mayGoOn(MonotonicTime now) const {
     return now - proofOrigin_ < options_.liveLimit || !options_.guards(Guard::kLiveStale) ||
-           !options_.guards(Guard::kFreshness);  // the second line behind it
+           !options_.guards(Guard::kFreshness);  // it backs up this check
   }
-  /// Who stands behind the proof. Example: `"primary"`, `"read-only leader"`, `"nobody"`.
+  /// Who gave the newest proof: "primary", "caretaker" for a read-only leader, or "nobody" if the
+  /// proof is too old.
   std::string_view attestedBy(MonotonicTime now) const;
-  /// The age of the newest proof. Example: for the status page.
+  /// The age of the newest proof.
   Duration proofAge(MonotonicTime now) const { return now - proofOrigin_; }
   bool installed() const { return have_.setup.epoch.value != 0; }
   const SectionVersions& have() const { return have_; }
   const Setup& setup() const { return setup_; }
   const Keys& keys() const { return keys_; }
   const Weights& weights() const { return weights_; }
-  /// When these weights were named, as early as it may have been: a leader still showed the ones
-  /// before them at that moment. `kNever` for the first that this process saw.
+  /// The earliest time at which these weights may have been published: a leader still showed the
+  /// previous ones then. `kNever` for the first weights that this process saw.
   MonotonicTime weightsNamedSince() const { return weightsNamedSince_; }
   const View& view() const { return view_; }
-  /// The newest view that came with a proof, so that it is settled. Example: for candidates.
+  /// The newest view that came with a proof, so that it is settled.
   const View& chosenView() const { return chosenView_; }
   const std::string& setupText() const { return setupText_; }
-  /// Whether a key is live here and not withdrawn. Example: `tenantOf(digest)`.
+  /// The tenant of a key; null if the key is unknown or withdrawn.
   const TenantId* tenantOf(const KeyDigest& digest) const;
-  /// Since when a newer version than this is known; forever away if it is the newest.
+  /// When a newer version of the weights became known; `kForever` if this one is the newest.
   MonotonicTime outdatedSince(WeightsVersion version) const;
-  /// Whether work may still start on these weights. Example: in the roll-out.
+  /// Whether work may still start on this version of the weights.
   bool weightsAllowed(WeightsVersion version, MonotonicTime now) const;
-  /// Raised by each install or withdrawal. Example: compare to end streams of dead keys.
+  /// Incremented by each installed section and each withdrawal.
   std::uint64_t changesSeen() const { return changesSeen_; }
   const std::deque<InstallRecord>& installs() const { return installs_; }
   void reload(const Options& options) { options_ = options; }
 
  private:
-  /// Of whom a question was asked, and as what.
+  /// The role in which a member was asked.
   enum class Responder : std::uint8_t { kLeader, kRelay };
-  /// A question that may still be answered; its stamp on the wire is its number.
+  /// A request that may still be answered; its timestamp on the wire identifies it.
   struct Question {
     Address to;
     Responder responder = Responder::kRelay;
     MonotonicTime sentAt;
   };
-  /// Sends a question with a stamp of its own, and returns the stamp; kNever if nobody is asked.
+  /// Sends a request with a unique timestamp, and returns the timestamp; kNever if there is nobody
+  /// to ask.
   MonotonicTime ask(const Address& to, Responder responder, bool relayed, MonotonicTime now,
                     Outbox& outbox);
-  /// Asks the leader for a proof; `relayed`: to be answered without any wait.
+  /// Asks the leader for a proof; `relayed`: to be answered without waiting for a change.
   void askLeader(const Address& leader, bool relayed, MonotonicTime now, Outbox& outbox);
   Address nextRelay();
   void askRelay(MonotonicTime now, Outbox& outbox);
   void askAgain(MonotonicTime now, Outbox& outbox);
-  /// A section as it was offered, and what is here of it.
+  /// An offered section, and the version and text installed here.
   struct Offered {
     const std::string& text;
     const SectionVersion& version;
@@ -148,8 +152,8 @@
   Options options_;
   View view_, chosenView_;
   SectionVersions have_;
-  SectionVersions named_;  // by the leader's newest proof
-  Epoch primaryEpoch_;     // of the view of that proof
+  SectionVersions named_;  // in the newest proof of a leader
+  Epoch primaryEpoch_;     // highest epoch of a leader's proof
   Setup setup_;
   Keys keys_;
   Weights weights_;
@@ -158,7 +162,7 @@
   std::deque<KeyDigest> recentWithdrawn_;
   MonotonicTime proofOrigin_ = kNever, primaryOrigin_ = kNever;
   Address readOnlyLeader_;
-  Address relay_;  // the member that relayed a younger proof last
+  Address relay_;  // the member that last relayed a younger proof
   MonotonicTime relayHeard_ = kNever;
   MonotonicTime readOnlyLeaderHeard_ = kNever, askedReadOnlyLeader_ = kNever;
   std::string_view lastAttester_ = "nobody";
@@ -166,10 +170,10 @@
   MonotonicTime weightsNamedSince_ = kNever;
   MonotonicTime askedPrimary_ = kNever, askedRelay_ = kNever, nextAsk_{};
   bool waiting_ = false;
-  MonotonicTime leaderQuestion_ = kNever;  // the stamp of the last question to a leader
+  MonotonicTime leaderQuestion_ = kNever;  // timestamp of the last request to a leader
   MonotonicTime lastStamp_ = kNever;
-  std::map<MonotonicTime, Question> questions_;  // by stamp; only the newest are kept
-  std::vector<Address> relayTurns_;              // members not asked yet in this turn
+  std::map<MonotonicTime, Question> questions_;  // by timestamp; only the newest are kept
+  std::vector<Address> relayTurns_;              // members not asked yet in this round
   std::deque<InstallRecord> installs_;
   std::uint64_t changesSeen_ = 0;
 };
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -33,7 +33,7 @@
   }
   auto found = known_.find(record.member);
   if (found == known_.end()) {
-    if (direct) {  // whoever speaks from an address ends the earlier lives there
+    if (direct) {  // a new process at an address replaces the earlier ones there
       for (auto other = known_.begin(); other != known_.end();) {
         bool same = other->second.record.address == record.address;
         if (same) buried_[other->first] = {now, ~0ULL};
@@ -80,7 +80,7 @@
     if (silent > options_.suspectAfter && !known.suspected) {
       known.suspected = true;
       outbox.count("members.suspected");
-      outbox.send(known.record.address, makeShuffle(true));  // the direct question
+      outbox.send(known.record.address, makeShuffle(true));  // asks it directly
     }
     ++entry;
   }
@@ -116,18 +116,18 @@
     std::rotate(view_.begin(), view_.begin() + 1, view_.end());
     outbox.send(known_.at(neighbour).record.address, makeShuffle(true));
   }
-  // Seeds are asked while the view is thin, and now and then so that two parts find each other.
+  // Seeds are asked while the view is small, and now and then to heal a partition.
   bool thin = view_.size() < 2;
   if (!seeds_.empty() && (thin || random_.below(16) == 0)) {
     const Address& seed = seeds_[random_.below(seeds_.size())];
     if (seed != self_.address) outbox.send(seed, makeShuffle(true));
   }
-  // After a common start small parts that know each other form at once; whoever a seed is missing
-  // to asks it each time, so that they join within some rounds.
+  // After a common start members form small groups that don't know each other. A member that misses
+  // a seed asks it in each round, so that the groups merge within some rounds.
   if (Address seed = missingSeed(); !seed.value.empty()) outbox.send(seed, makeShuffle(true));
   if (!former_.empty() && random_.below(6) == 0)
     outbox.send(former_[random_.below(former_.size())], makeShuffle(true));
-  // One neighbour is traded for a random known member, so that views keep moving.
+  // A random neighbour is replaced by a random known member, so that views keep changing.
   if (view_.size() > 2 && known_.size() > view_.size()) {
     auto other = known_.begin();
     std::advance(other, static_cast<std::ptrdiff_t>(random_.below(known_.size())));
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,5 +1,5 @@
 #pragma once
-// Members know each other through partial views that neighbours shuffle.
+// Gossip membership: members exchange partial views with their neighbours.
 #include <functional>
 #include <map>
 #include <set>
@@ -12,67 +12,66 @@
 
 namespace peppergate {
 
-/// Keeps a small view of neighbours and a directory of heard members.
-/// Example: `membership.tick(now, outbox);` each 50 ms.
+/// Keeps a small partial view of neighbours, and a directory of all members known through gossip.
+/// Ticked each 50 ms.
 class Membership : private MembershipCollaborators {
  public:
   Membership(const Options& options, MemberRecord self, std::vector<Address> seeds, Random& random);
 
-  /// Shuffles, suspects and buries when due. Example: `membership.tick(now, outbox);`
+  /// Gossips, suspects silent members and removes dead ones when due.
   void tick(MonotonicTime now, Outbox& outbox);
-  /// Takes a neighbour's records. Example: `membership.hear(from, shuffle, now, outbox);`
+  /// Merges a neighbour's records, and answers if it wants an answer.
   void hear(const Shuffle& shuffle, MonotonicTime now, Outbox& outbox);
-  /// A core machine answered a question itself that was sent at `when`, so it lived then. Its
-  /// heartbeat comes through other members and may be late where these are busy.
+  /// A core answered directly a request that was sent at `when`, so it was alive then. Its
+  /// heartbeats come through other members, and are late where these are busy.
   void heardFrom(CoreId core, MonotonicTime when);
-  /// Tells everybody that this member goes. Example: on SIGTERM, before the drain.
+  /// Tells all members that this one leaves: on SIGTERM, before it drains.
   void leave(Outbox& outbox);
 
-  /// The live members, self among them, ordered by id. Example: `for (auto& m : live()) ...`
+  /// The live members, including self, ordered by id.
   std::vector<MemberRecord> live() const;
-  /// The live fronts that stay, self among them if a front. Example: the ring's members.
+  /// The live routers that aren't leaving, including self if it is one.
   std::vector<MemberRecord> liveFronts() const;
-  /// The live core machines, self among them if one. Example: those that may keep a copy.
+  /// The live cores, including self if it is one.
   std::vector<MemberRecord> liveCores() const;
-  /// Where the live fronts that stay are, without self; all, or those that a test lets pass.
-  /// Example: for what every front is told.
+  /// Addresses of the live routers that aren't leaving, without self; only those that `wanted`
+  /// accepts, if it is set.
   std::vector<Address> otherFronts(const std::function<bool(MemberId)>& wanted = nullptr) const;
-  /// Where all live members are, without self.
+  /// Addresses of all live members, without self.
   std::vector<Address> otherMembers() const;
-  /// How many live fronts there are that stay, self among them if a front.
+  /// The number of live routers that aren't leaving, including self if it is one.
   std::size_t frontCount() const;
-  /// Which core lives at an address; 0 if none is known. Example: `coreAt(seed)`.
+  /// The core at an address; 0 if none is known.
   CoreId coreAt(const Address& address) const;
-  /// Where a core machine lives now. Example: `addressOf(view.primary)`; empty if unknown.
+  /// The current address of a core; empty if unknown.
   Address addressOf(CoreId core) const;
-  /// Where a member lives now; empty if unknown. Example: `addressOf(note.watcher)`.
+  /// The current address of a member; empty if unknown.
   Address addressOf(MemberId member) const;
-  /// How long nothing new was heard of a member. Example: `silence(member, now) < seconds(1)`.
+  /// The time since a member's last sign of life; the time after which it counts as dead, if
+  /// unknown.
   Duration silence(MemberId member, MonotonicTime now) const;
-  /// A random live member but self; empty if alone. Example: the one to relay a question.
+  /// The address of a random live member other than self; empty if there is none.
   Address randomMember();
-  /// The record of this member. Example: `self().address`.
   const MemberRecord& self() const { return self_; }
-  /// Adds what each shuffle carries. Example: `carry([](Shuffle& s) { s.withdrawn = ...; })`.
+  /// Sets a callback that adds data to each shuffle message, such as withdrawn keys.
   void carry(std::function<void(Shuffle&)> carrier) { carrier_ = std::move(carrier); }
-  /// New options after a reload. Example: `membership.reload(options);`
   void reload(const Options& options) { options_ = options; }
 
  private:
   struct Known {
     MemberRecord record;
-    MonotonicTime advanced;  // when its heartbeat last rose
+    MonotonicTime advanced;  // last sign of life: a higher heartbeat or a direct answer
     bool suspected = false;
   };
   bool isFront(const MemberRecord& record) const {
     return record.role == Role::kFront && !record.leaving;
   }
-  /// The entry of a core machine's latest life; null if none is known.
+  /// The entry of a core's latest process; null if none is known.
   const Known* latestOf(CoreId core) const;
   Shuffle makeShuffle(bool wantsAnswer);
   void note(const MemberRecord& record, bool direct, MonotonicTime now, Outbox& outbox);
   void age(MonotonicTime now, Outbox& outbox);
-  /// The next seed at which no member is known; empty where all are known.
+  /// The next seed address at which no member is known; empty if there is none.
   Address missingSeed();
 
   Options options_;
@@ -83,11 +82,11 @@
     MonotonicTime since;
     std::uint64_t heartbeat = 0;
   };
-  std::map<MemberId, Grave> buried_;  // only a higher heartbeat brings one back
-  std::vector<Address> former_;       // asked now and then, so that parts find each other again
-  std::vector<MemberId> view_;        // the neighbours to shuffle with, oldest first
+  std::map<MemberId, Grave> buried_;  // tombstones; only a higher heartbeat revives a member
+  std::vector<Address> former_;       // of dead members, tried now and then to heal a partition
+  std::vector<MemberId> view_;        // neighbours to gossip with, longest unused first
   MonotonicTime nextShuffle_{};
-  std::size_t nextSeed_ = 0;  // of those that aren't known
+  std::size_t nextSeed_ = 0;  // among the seeds without a known member
 };
 
 }  // namespace peppergate
--- a/src/core/read_only_leader.cc
+++ b/src/core/read_only_leader.cc
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kRoom = seconds(1);  // for an election after another read-only leader gave up
+constexpr Duration kRoom = seconds(1);  // for an election after another read-only leader yielded
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   MonotonicTime last{asked ? rounds_.rbegin()->first : 0};
   rounds_.clear();
   leaseUntil_ = kNever;
-  // It vouches for nothing any more, so the votes are free; a candidate's own vote stays bound.
+  // It is no longer a read-only leader, so the votes are free; a candidate keeps its own vote.
   if (asked && leadership_.idle()) acceptor_.release(self());
   if (asked)
     for (CoreId voter : allVoters(acceptor_.record().accepted))
@@ -49,14 +49,14 @@
   if (!attesting_) return;
   attesting_ = false;
   outbox.count("caretakers.ended");
-  outbox.push(NoteState{"core: vouches no more, " + std::string(why)});
+  outbox.push(NoteState{"core: read-only leadership ended: " + std::string(why)});
 }
 
 void ReadOnlyLeader::yield(MonotonicTime now, std::string_view why, Outbox& outbox) {
   quit(why, outbox);
   outbox.count("caretakers.yielded");
   yieldUntil_ = now + yieldFor_;
-  // Proofs outlast one such pause; where elections fail again and again they get more room.
+  // Proofs outlast one such pause. If elections fail repeatedly, they get more time.
   mayYieldAgain_ = yieldUntil_ + yieldFor_ * 2;
   yieldFor_ = std::min(yieldFor_ * 1.5, seconds(8));
   lookingSince_ = sightSince_ = kForever;
@@ -90,17 +90,17 @@
   if (silent < options_.readLeaseAfter - options_.readLeaseProbe || !able()) {
     if (silent < options_.lease) yieldFor_ = options_.readLeaseYield;
     lookingSince_ = sightSince_ = kForever;
-    quit("a primary is heard", outbox);
+    quit("a leader is reachable", outbox);
     return;
   }
   if (attesting_ && !attests(now)) {
     outbox.count("caretakers.lapsed");
     attesting_ = false;
-    outbox.push(NoteState{"core: vouches no more, the hold ran out"});
+    outbox.push(NoteState{"core: read-only leadership ended: the lease ran out"});
   }
   if (lookingSince_ == kForever) lookingSince_ = now;
-  if (!leadership_.idle()) {  // it stands for election, and sees by that who answers
-    quit("it stands for election", outbox);
+  if (!leadership_.idle()) {  // its campaign shows which voters answer
+    quit("this core campaigns", outbox);
     return;
   }
   if (attests(now) && now >= nextNote_) {
@@ -111,24 +111,24 @@
                     ReadLeaderNotification{self(), acceptor_.record().accepted.epoch});
   }
   if (now < yieldUntil_) {
-    wants_ = false;  // the room that is left to an election is this core's own, too
+    wants_ = false;  // this core may campaign during the pause, too
     return;
   }
   if (now < nextAsk_) return;
   std::set<CoreId> sight = inSight(now);
-  bool more = !std::ranges::includes(lastSight_, sight);  // an election may go better than before
+  bool more = !std::ranges::includes(lastSight_, sight);  // an election may succeed now
   lastSight_ = sight;
   const View& accepted = acceptor_.record().accepted;
   if (leadership_.quorum(sight, accepted)) {
-    // Enough voters for a primary: room for an election, but not for ever.
+    // Enough voters to elect a leader: time for an election, but only a limited one.
     if (sightSince_ == kForever) sightSince_ = now;
     bool patient = now - sightSince_ < options_.readLeaseYield;
     if (!rounds_.empty() && (more || now >= mayYieldAgain_)) {
-      yield(now, "a third voter is in sight", outbox);
+      yield(now, "more voters are reachable", outbox);
       return;
     }
     if (rounds_.empty() && patient) {
-      wants_ = false;  // it may have wanted while fewer were in sight
+      wants_ = false;  // may be set since fewer voters were reachable
       sendRound(false, now, outbox);
       return;
     }
@@ -137,7 +137,7 @@
   }
   bool looked = now - lookingSince_ >= options_.readLeaseProbe;
   bool grant = silent >= options_.readLeaseAfter && looked && blocks(sight);
-  wants_ = looked;  // without a majority in sight an election could not be won
+  wants_ = looked;  // without a reachable majority it couldn't win an election
   sendRound(grant, now, outbox);
 }
 
@@ -151,10 +151,10 @@
     count(round, self(), leadership_.intactReplica(view) != nullptr, proven());
     while (rounds_.size() > 8) rounds_.erase(rounds_.begin());
   } else if (!rounds_.empty()) {
-    quit("this voter's grant went elsewhere", outbox);
+    quit("this voter granted a lease to another core", outbox);
   }
-  // Only those that answer are asked to bind themselves: a grant that can't be heard of would
-  // keep its voter from others for nothing.
+  // Only voters that answer are asked for a lease: a grant whose reply doesn't arrive would block
+  // its voter for nothing.
   std::set<CoreId> sight = inSight(now);
   ReadLeaseRequest ask{view, self(), now, follower_.have(), bound};
   for (CoreId voter : allVoters(view)) {
@@ -186,7 +186,7 @@
   answer.grantedTo = acceptor_.grantedTo(now);
   answer.intact = leadership_.intactReplica(acceptor_.record().accepted) != nullptr;
   answer.proven = proven();
-  // What is told comes after the grant: from then on nothing can be acknowledged.
+  // The state is read after the grant: from then on no change can be acknowledged.
   adoptOwnReplica(now, outbox);
   follower_.fill(answer, ask.have);
   outbox.send(from, std::move(answer));
@@ -197,10 +197,10 @@
   auto round = rounds_.find(answer.sentAt.microseconds);
   if (round == rounds_.end()) return;
   if (!answer.granted) {
-    // Two that ask each other: the one with the lower number goes on.
+    // Of two cores that ask each other, the one with the lower id goes on.
     bool yields = answer.grantedTo == answer.voter && answer.voter < self() && !attests(now);
     if (yields) {
-      quit("another asks as well", outbox);
+      quit("another core asks for read leases, too", outbox);
       nextAsk_ = now + options_.lease + milliseconds(static_cast<std::int64_t>(random_.below(300)));
     }
     return;
@@ -227,7 +227,7 @@
   attesting_ = true;
   nextNote_ = now;
   outbox.count("caretakers.began");
-  outbox.push(NoteState{"core: vouches for its part as a caretaker"});
+  outbox.push(NoteState{"core: read-only leader of its side of the partition"});
 }
 
 void ReadOnlyLeader::allowElection(MonotonicTime now) {
@@ -236,7 +236,7 @@
 
 void ReadOnlyLeader::candidateHeard(MonotonicTime now, Outbox& outbox) {
   if (rounds_.empty() || now < mayYieldAgain_) return;
-  yield(now, "a candidate asks", outbox);
+  yield(now, "another core campaigns", outbox);
 }
 
 }  // namespace peppergate
--- a/src/core/read_only_leader.h
+++ b/src/core/read_only_leader.h
@@ -1,6 +1,7 @@
 #pragma once
-// Where no primary can be, two voters of four bound by a short hold vouch for their part.
-// See docs/design-read-only leaders.md.
+// A leader for reads only, on a side of a partition where no leader can be elected: half of the
+// voters, such as two of four, bound by a short lease, guarantee that no change is acknowledged.
+// See docs/design-caretakers.md.
 #include <map>
 #include <set>
 
@@ -10,31 +11,29 @@
 
 namespace peppergate {
 
-/// Example: `read-only leader.tick(now, outbox); if (read-only leader.vouches(now))
-/// follower.vouch(now);`
+/// Collects read leases from voters. While it has enough of them, no leader can be elected without
+/// one of these voters, so that the newest state that they know stays the newest acknowledged one.
 class ReadOnlyLeader : private ReadOnlyLeaderCollaborators {
  public:
   ReadOnlyLeader(const Options& options, Acceptor& acceptor, Leadership& leadership,
                  Membership& membership, Follower& follower, Random& random, MonotonicTime started);
 
-  /// Looks for voters, asks for grants, renews, or makes room. Example: each tick.
+  /// Probes voters, asks for read leases and renews them, or yields to an election, when due.
   void tick(MonotonicTime now, Outbox& outbox);
-  /// Another core asks for this voter's grant, or only who is there. Example: on a
-  /// ReadLeaseRequest.
+  /// Answers another core's request for a read lease, or its probe.
   void ask(const Address& from, const ReadLeaseRequest& ask, MonotonicTime now, Outbox& outbox);
-  /// A voter's answer. Example: on a ReadLeaseReply.
   void hear(const ReadLeaseReply& answer, MonotonicTime now, Outbox& outbox);
-  /// A candidate's question reached this core. Example: on a PrepareRequest of another core.
+  /// Another core campaigns: yields to it unless this core yielded shortly before.
   void candidateHeard(MonotonicTime now, Outbox& outbox);
-  /// Another read-only leader made room for an election: nobody takes its place at once.
-  /// Example: on a PrepareRequest of the kind kRelease with epoch 0.
+  /// Another read-only leader yielded to an election, by a release with epoch 0: this core doesn't
+  /// take its place at once.
   void allowElection(MonotonicTime now);
 
-  /// A voter answered this core in any way: it is in sight. Example: on a PrepareReply.
+  /// A voter answered this core, so it is reachable.
   void heardVoter(CoreId voter, MonotonicTime now) { seen_[voter] = now; }
-  /// Whether this core vouches for its part now. Example: see the class.
+  /// Whether this core is a read-only leader with a valid lease.
   bool attests(MonotonicTime now) const { return now < leaseUntil_; }
-  /// Whether it is about to vouch, or does; then it doesn't stand. Example: in status pages.
+  /// Whether it is or wants to become a read-only leader; then it doesn't campaign.
   bool wants() const { return wants_; }
 
  private:
@@ -44,10 +43,10 @@
     bool allProven = true;
   };
   bool able() const;
-  /// Whether no majority that could elect a leader is without one of these voters.
+  /// Whether each majority that could elect a leader contains one of these voters.
   bool blocks(const std::set<CoreId>& voters) const;
-  /// A leader of the accepted view, or of a later one, proved its state to this process. A proof of
-  /// an earlier view says nothing of changes that voters replaced since then took part in.
+  /// Whether a leader of the accepted view, or of a later one, proved its state to this process. A
+  /// proof of an earlier view doesn't cover changes that voters which were replaced since stored.
   bool proven() const {
     return follower_.primaryOrigin() > started_ &&
            follower_.primaryEpoch() >= acceptor_.record().accepted.epoch;
@@ -66,10 +65,10 @@
   MonotonicTime sightSince_ = kForever, mayYieldAgain_ = kNever;
   MonotonicTime leaseUntil_ = kNever;
   Duration yieldFor_{};
-  std::map<std::int64_t, Round> rounds_;  // by the time of asking
+  std::map<std::int64_t, Round> rounds_;  // by the time of the request
   std::map<CoreId, MonotonicTime> seen_;
   std::set<CoreId> lastSight_;
-  SectionVersions highest_;  // of what granters told
+  SectionVersions highest_;  // known by any voter that granted a lease
   bool wants_ = false;
   bool attesting_ = false;
 };
--- a/tests/config_machines.h
+++ b/tests/config_machines.h
@@ -1,5 +1,6 @@
 #pragma once
-// Three cores and a front that talk without delay, for tests of orders through whole machines.
+// A test harness: three cores and a router that exchange messages without delay, for end-to-end
+// tests of configuration changes.
 #include <deque>
 #include <map>
 #include <memory>
@@ -16,11 +17,11 @@
 namespace peppergate {
 
 inline constexpr int kCores = 3;
-inline constexpr int kFront = kCores;  // the index of the front
+inline constexpr int kFront = kCores;  // index of the router
 
 inline Address machineAddress(int index) { return {"10.0.0." + std::to_string(index + 1) + ":1"}; }
 
-/// Machines, their disks and the messages between them, on a clock of its own.
+/// The machines, their disks and their messages, with a simulated clock.
 class Machines {
  public:
   Machines() {
@@ -48,7 +49,7 @@
       for (int index = 0; index <= kFront; ++index) step(index, Ticked{});
   }
 
-  /// Asks a page of one machine and waits for the answer. Example: `ask(0, "GET", "/config")`.
+  /// Sends an operator's request to one machine and waits for the answer.
   AnswerWeb ask(int index, const std::string& method, const std::string& path,
                 const std::string& body = "") {
     TicketId ticket = send(index, method, path, body);
@@ -58,7 +59,7 @@
   TicketId send(int index, const std::string& method, const std::string& path,
                 const std::string& body = "") {
     TicketId ticket{++lastTicket_};
-    now_ = now_ + milliseconds(1);  // a request takes some time to come
+    now_ = now_ + milliseconds(1);  // a request takes some time to arrive
     step(index, OperatorRequest{ticket, method, path, body});
     return ticket;
   }
@@ -75,9 +76,9 @@
     return std::nullopt;
   }
   void kill(int index) { dead_.insert(index); }
-  /// From now on this machine's disk ends no write until it is released.
+  /// From now on writes on this machine's disk don't complete until they are released.
   void holdWrites(int index) { holding_.insert(index); }
-  /// Ends the writes that are held; further ones are held again unless `andLater`.
+  /// Completes the held writes; later ones are held again unless `andLater`.
   void releaseWrites(int index, bool andLater) {
     if (andLater) holding_.erase(index);
     auto held = std::exchange(held_[index], {});
@@ -125,7 +126,7 @@
   std::uint64_t lastTicket_ = 0;
 };
 
-/// An order that brings a configuration with only its number and its sender's id.
+/// A change to a configuration that contains only its version and the id of the change.
 inline std::string change(const char* id, int base, int version) {
   return Json{{"changeId", id},
               {"kind", "replace"},
--- a/tests/consensus_proofs_test.cc
+++ b/tests/consensus_proofs_test.cc
@@ -1,4 +1,5 @@
-// What replicas may claim of a leader's state, and what a candidate does that can't lead.
+// Proofs: a replica counts as proven only by a leader of the current view. Candidates: one that
+// can't lead releases its votes.
 #include <string>
 
 #include "core/leadership.h"
@@ -58,7 +59,7 @@
   }
 };
 
-TEST(ConsensusProofs, AProofOfAnEarlierViewDoesNotMakeAWitnessOfTheNewOneProven) {
+TEST(ConsensusProofs, AProofOfAnEarlierViewDoesNotCountForANewerView) {
   for (std::uint64_t core = 2; core <= kCores; ++core) know({core});
   View accepted = viewOf(7, {2}, {{3}});
   Acceptor acceptor(options, recordOf(accepted), started);
@@ -84,11 +85,11 @@
   CHECK(provenAfterProofOf(accepted, started + seconds(3)));
 }
 
-TEST(ConsensusProofs, ACandidateThatCanNotLeadReleasesItsVotes) {
+TEST(ConsensusProofs, ACandidateWithoutAnIntactReplicaReleasesItsVotes) {
   for (std::uint64_t core = 2; core <= kCores; ++core) know({core});
-  View accepted = viewOf(5, {2}, {{3}});  // this core is no member of it
+  View accepted = viewOf(5, {2}, {{3}});  // this core isn't a member of it
   Acceptor acceptor(options, recordOf(accepted), started);
-  ReplicaOnDisk replica{{9}, ControlState::founded({9})};  // of a view that was given up
+  ReplicaOnDisk replica{{9}, ControlState::founded({9})};  // of a view that was never settled
   Leadership leadership(options, acceptor, membership, random, replica);
   MonotonicTime now = started;
   std::vector<PrepareRequest> requests;
@@ -97,7 +98,7 @@
     requests = messages<PrepareRequest>(outbox.take());
   }
   CHECK(!requests.empty());
-  // Its own promise is on disk, as it has to be before the others' promises count.
+  // Its own promise has to be on disk before the promises of the others count.
   acceptor.ask(membership.self().address, requests[0], now, outbox);
   auto writes = taken<WriteFile>(outbox.take());
   LONGS_EQUAL(1, writes.size());
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -1,5 +1,5 @@
-// Votes, leases and replicas of single core machines, one step at a time, with slow disks, late
-// messages and power losses at the worst moment.
+// Votes, leases and replicas of one core, step by step, with slow disks, delayed messages and power
+// losses between writes.
 #include "tests/one_core.h"
 
 using namespace peppergate;
@@ -23,12 +23,12 @@
   void take() { lastCommands = outbox.take(); }
 };
 
-TEST(AcceptorVotes, NoRenewalForTheFormerLeaderWhileAPromiseToAnotherIsWritten) {
+TEST(AcceptorVotes, TheFormerLeaderIsNotRenewedWhileAPromiseToAnotherCandidateIsWritten) {
   acceptor.ask(addressOfCore({4}), leaseOf({4}, 8, at(10)), at(10), outbox);
   take();
   LONGS_EQUAL(1, taken<WriteFile>(lastCommands).size());
   TicketId ticket = taken<WriteFile>(lastCommands)[0].ticket;
-  // The disk takes longer than a lease, so the grant in memory has run out by now.
+  // The write takes longer than a lease, so the lease in memory has run out by now.
   MonotonicTime later = at(10) + options.lease + milliseconds(100);
   acceptor.ask(addressOfCore({3}), leaseOf({3}, 6, later), later, outbox);
   take();
@@ -38,7 +38,7 @@
   for (const auto& reply : replies()) CHECK(reply.granted == (reply.epoch.value == 8));
 }
 
-TEST(AcceptorVotes, TheLeaderRenewsWhileItsOwnNextViewIsWritten) {
+TEST(AcceptorVotes, TheLeaderRenewsItsLeaseWhileItsNextPromiseIsWritten) {
   acceptor.ask(addressOfCore({3}), leaseOf({3}, 7, at(10)), at(10), outbox);
   take();
   acceptor.ask(addressOfCore({3}), leaseOf({3}, 6, at(10.3)), at(10.3), outbox);
@@ -47,7 +47,7 @@
   CHECK(replies()[0].granted);
 }
 
-TEST(AcceptorVotes, OneEpochHasOneView) {
+TEST(AcceptorVotes, ASecondViewOfTheSameEpochIsRejected) {
   View other = viewOf(6, {3}, {{4}}, 5);
   acceptor.ask(addressOfCore({3}), AcceptRequest{other, false}, at(10), outbox);
   take();
@@ -60,20 +60,20 @@
 
 TEST_GROUP(LeadershipSteps){};
 
-TEST(LeadershipSteps, AVoterThatAnswersIsNotSilentThoughItsHeartbeatComesLate) {
-  // Heartbeats travel through other members, which may be busy; answers come straight.
+TEST(LeadershipSteps, AVoterThatAnswersIsNotSilentEvenIfItsHeartbeatsAreLate) {
+  // Heartbeats come through other members, which may be busy; answers come directly.
   OneCore core(diskIn(viewOf(5, kSelf, {{2}}, 5)));
   core.heard = core.answering = {{2}, {3}, {4}, {5}, {6}};
   CHECK(core.runUntil([&] { return core.leadership.leads(core.now); }, 6));
-  core.run(3);  // until the newcomer's slot is settled
+  core.run(3);  // until the view with the new voter is settled
   Epoch before = core.leadership.view().epoch;
   core.heard = {{6}};
-  core.run(6);  // longer than a silent member is kept in the directory
+  core.run(6);  // longer than membership keeps a silent member
   CHECK(core.leadership.leads(core.now));
   LONGS_EQUAL(before.value, core.leadership.view().epoch.value);
 }
 
-TEST(LeadershipSteps, AVoterThatNeitherAnswersNorIsHeardLosesItsSlot) {
+TEST(LeadershipSteps, AVoterWithoutAnswersAndHeartbeatsIsReplaced) {
   OneCore core(diskIn(viewOf(5, kSelf, {{2}}, 5)));
   core.options.voterSlots = 5;
   core.heard = core.answering = {{2}, {3}, {4}, {5}};
@@ -86,10 +86,10 @@
   CHECK(core.runUntil(lost, 6));
 }
 
-TEST(LeadershipSteps, NothingIsProposedBeforeTheOwnPromiseIsOnDisk) {
+TEST(LeadershipSteps, NoViewIsProposedBeforeTheOwnPromiseIsOnDisk) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 5)));
   core.heard = core.answering = {{3}, {4}, {5}};
-  core.diskWorks = false;  // its own promise stays under way
+  core.diskWorks = false;  // the write of its own promise doesn't complete
   CHECK(core.runUntil([&] { return !core.prepares.empty(); }, 6));
   core.run(0.6);
   LONGS_EQUAL(0, core.proposals.size());
@@ -98,8 +98,8 @@
   CHECK(core.runUntil([&] { return !core.proposals.empty(); }, 3));
 }
 
-TEST(LeadershipSteps, AnEpochOfAnEarlierLifeIsNeverUsedAgain) {
-  // The promise was lost with the power, the replica of that epoch was written.
+TEST(LeadershipSteps, AnEpochUsedBeforeARestartIsNotReused) {
+  // A power loss destroyed the promise, but the replica of that epoch was written.
   StartDisk disk = diskIn(viewOf(5, kSelf, {{2}}, 5));
   disk.replica.tag = {9};
   OneCore core(disk);
@@ -108,9 +108,9 @@
   CHECK(core.prepares[0].epoch.value > 9);
 }
 
-TEST(LeadershipSteps, ALateReplicaOfALowerEpochTakesNoPlace) {
+TEST(LeadershipSteps, ADelayedReplicaOfALowerEpochIsRejected) {
   StartDisk disk;
-  disk.record.identity = kSelf;  // a machine that is about to join
+  disk.record.identity = kSelf;  // a core that is about to join
   OneCore core(disk);
   core.diskWorks = false;
   ControlState state = ControlState::founded({1});
@@ -121,7 +121,7 @@
     core.carryOut();
   };
   request(8, {2});
-  request(7, {3});  // delayed, of the former leader
+  request(7, {3});  // delayed, from the former leader
   core.diskWorks = true;
   core.finishWrites();
   core.finishWrites();
@@ -130,7 +130,7 @@
     CHECK(reply.synced == (reply.epoch.value == 8));
 }
 
-TEST(LeadershipSteps, EqualVersionsWithAnotherContentAreNeverCalledSynced) {
+TEST(LeadershipSteps, AReplicaWithEqualVersionButOtherContentIsNotSynced) {
   ControlState mine = ControlState::founded({1}), theirs = ControlState::founded({1});
   auto apply = [](ControlState& state, const std::string& label) {
     Json change{{"kind", "weights"}, {"label", label}, {"basedOn", "1.1"}};
@@ -150,22 +150,22 @@
   CHECK_FALSE(core.replicateReplies[0].second.synced);
 }
 
-TEST(LeadershipSteps, AMemberThatLeavesWaitsForItsSuccessor) {
+TEST(LeadershipSteps, ALeavingMemberWaitsForItsReplacement) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 4)));
   core.heard = {{2}, {3}, {4}};
   core.run(0.5);
   core.leadership.leave(core.now);
   core.run(1);
-  CHECK_FALSE(core.leadership.gone(core.now));  // the others may have no second copy yet
+  CHECK_FALSE(core.leadership.gone(core.now));  // the others may not have a second replica yet
   core.leadership.noteChosen(viewOf(6, {2}, {{3}}, 4), core.now, core.outbox);
-  CHECK_FALSE(core.leadership.gone(core.now));  // its vote is still counted on
+  CHECK_FALSE(core.leadership.gone(core.now));  // its vote is still needed
   View without = viewOf(7, {2}, {{3}}, 4);
   std::erase(without.voters, kSelf);
   core.leadership.noteChosen(without, core.now, core.outbox);
   CHECK(core.leadership.gone(core.now));
 }
 
-TEST(LeadershipSteps, AViewThatWasOnlyAcceptedLetsNobodyLeave) {
+TEST(LeadershipSteps, AnAcceptedButUnsettledViewDoesNotLetAMemberLeave) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 4)));
   core.heard = {{2}, {3}, {4}};
   core.leadership.noteChosen(viewOf(5, {2}, {kSelf}, 4), core.now, core.outbox);
@@ -184,7 +184,7 @@
   CHECK(core.leadership.gone(core.now));
 }
 
-TEST(LeadershipSteps, AMemberWithoutASuccessorStaysUntilItsGraceTimeEnds) {
+TEST(LeadershipSteps, ALeavingMemberWithoutAReplacementStaysUntilItsGraceTimeEnds) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 4)));
   core.heard = {{2}};
   core.leadership.leave(core.now);
@@ -195,7 +195,7 @@
   CHECK(core.now - left < core.options.graceTime - seconds(0.5));
 }
 
-TEST(LeadershipSteps, WhereAllMachinesLeaveNobodyWaits) {
+TEST(LeadershipSteps, ALeavingMemberDoesNotWaitIfAllOthersLeave) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 4)));
   core.heard = core.leaving = {{2}, {3}, {4}};
   core.run(0.5);
@@ -204,29 +204,29 @@
   CHECK(core.leadership.gone(core.now));
 }
 
-TEST(LeadershipSteps, OneViewIsFollowedByOneChangeOfVotersOnly) {
+TEST(LeadershipSteps, OnlyOneChangeOfVotersIsProposedAfterAView) {
   OneCore core(diskIn(viewOf(5, kSelf, {{2}}, 5)));
   core.heard = core.answering = {{2}, {3}, {4}, {5}};
   CHECK(core.runUntil([&] { return core.leadership.names(core.now); }, 8));
   core.run(2);
   CHECK(core.leadership.names(core.now));
   core.proposals.clear();
-  // Core 3 is silent and 6 takes its slot; nobody is known to accept that.
+  // Core 3 is silent and 6 is to replace it; no acceptance of that is received.
   core.othersAccept = false;
   core.heard = core.answering = {{2}, {4}, {5}, {6}};
   CHECK(core.runUntil([&] { return !core.proposals.empty(); }, 8));
   std::vector<CoreId> first = core.proposals.front().voters;
   CHECK(first != viewOf(5, kSelf, {{2}}, 5).voters);
-  // Then 3 is back, and 4 is silent instead, with 7 as a newcomer.
+  // Then 3 is back, 4 is silent instead, and 7 is a newcomer.
   core.heard = core.answering = {{2}, {3}, {5}, {6}, {7}};
   core.run(8);
   for (const auto& view : core.proposals)
     if (core.leadership.leadsHere()) CHECK(view.voters == first);
 }
 
-TEST(LeadershipSteps, AnUnfitCandidateGivesTheVotesBack) {
-  // It has a replica of a view that was never settled, and learns only from the votes that it is no
-  // member of the newest one.
+TEST(LeadershipSteps, ACandidateThatIsNotAMemberReleasesItsVotes) {
+  // It has a replica of a view that was never settled, and learns only from the votes that it isn't
+  // a member of the newest view.
   StartDisk disk = diskIn(viewOf(5, {2}, {{3}}, 5));
   disk.replica.tag = {7};
   OneCore core(disk);
--- a/tests/follower_test.cc
+++ b/tests/follower_test.cc
@@ -1,4 +1,4 @@
-// How a daemon keeps its state fresh: each answer counts only for the question that it was asked.
+// How a follower keeps its state fresh: an answer counts only for the request that it belongs to.
 #include <set>
 #include <string>
 
@@ -83,10 +83,10 @@
   }
 };
 
-TEST(FollowerQuestions, ARelaysRefusalIsNotTheLeadersOwn) {
+TEST(FollowerQuestions, ARelayWithoutAProofDoesNotEndTheRequestToTheLeader) {
   knowLeader();
   know(memberAt(21, relayAddress(1)));
-  follower.tick(now, outbox);  // without any proof the leader and relays are asked at once
+  follower.tick(now, outbox);  // without a proof the leader and relays are asked at once
   std::vector<Asked> questions = asked();
   bool leaderAsked = false;
   for (const auto& question : questions) leaderAsked = leaderAsked || question.to == kLeaderAddress;
@@ -97,12 +97,12 @@
     none.sentAt = question.request.sentAt;
     follower.hear(question.to, none, now, outbox);
   }
-  // The leader's own answer is still awaited: it is asked no second time before its timeout.
+  // The request to the leader is still open: it isn't asked again before the timeout.
   for (const auto& question : askedWithin(options.stateRequestTimeout - milliseconds(100)))
     CHECK(question.to != kLeaderAddress || question.request.relayed);
 }
 
-TEST(FollowerQuestions, TwoQuestionsOfOneInstantHaveTheirOwnStamps) {
+TEST(FollowerQuestions, RequestsSentAtTheSameTimeHaveDifferentTimestamps) {
   knowLeader();
   for (int number = 1; number <= 3; ++number)
     know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
@@ -114,7 +114,7 @@
     CHECK(stamps.insert(question.request.sentAt.microseconds).second);
 }
 
-TEST(FollowerQuestions, OnlyTheOneThatWasAskedAnswers) {
+TEST(FollowerQuestions, OnlyTheAnswerOfTheAskedMemberCounts) {
   knowLeader();
   know(memberAt(21, relayAddress(1)));
   follower.tick(now, outbox);
@@ -127,7 +127,7 @@
   CHECK(follower.fresh(now));
 }
 
-TEST(FollowerQuestions, AllMembersAreTriedBeforeOneIsAskedAgain) {
+TEST(FollowerQuestions, AllMembersAreAskedBeforeOneIsAskedAgain) {
   constexpr int kMembers = 9;
   for (int number = 1; number <= kMembers; ++number)
     know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
@@ -141,8 +141,9 @@
   LONGS_EQUAL(kMembers, tried.size());
 }
 
-TEST(FollowerQuestions, ARelayWithNothingYoungerIsNotKept) {
-  // Two members that are cut off together have the same proof; the way out is a third one.
+TEST(FollowerQuestions, ARelayWithoutAYoungerProofIsNotPreferred) {
+  // Two members on the same side of a partition have the same old proof; only a third member may
+  // have a younger one.
   for (int number = 1; number <= 4; ++number)
     know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
   std::vector<Asked> first = askedWithin(milliseconds(50));
@@ -160,8 +161,9 @@
   LONGS_EQUAL(4, tried.size());
 }
 
-// Weights heard of late may have been named as early as the last proof that showed the ones before.
-TEST(FollowerQuestions, WeightsAreAsOldAsTheProofBeforeThem) {
+// Weights that arrive late may have been published as early as the last proof that showed the
+// previous ones.
+TEST(FollowerQuestions, NewWeightsAreDatedToTheProofBeforeThem) {
   knowLeader();
   follower.tick(now, outbox);
   Asked question = asked().front();
@@ -171,7 +173,7 @@
   follower.hear(question.to, proof, now, outbox);
   CHECK(follower.primaryOrigin() == proved);
   CHECK(follower.weightsNamedSince() == kNever);  // may be older than this process
-  now = now + seconds(8);                         // it was frozen, say
+  now = now + seconds(8);                         // such as a process that was suspended
   StateReply told = proof;
   told.sentAt = kUnsolicited;
   told.now.weights.sequence = {told.now.weights.sequence.value + 1};
--- a/tests/one_core.h
+++ b/tests/one_core.h
@@ -1,5 +1,5 @@
 #pragma once
-// One core machine with its real acceptor and leadership; all others are played.
+// A test harness: one core with its real acceptor and leadership; all other cores are simulated.
 #include <deque>
 #include <functional>
 #include <map>
@@ -34,13 +34,13 @@
   return view;
 }
 
-/// What one core has on its disk when it starts.
+/// The content of a core's disk at its start.
 struct StartDisk {
   AcceptorRecord record;
   ReplicaOnDisk replica;
 };
 
-/// One core with its real acceptor and leadership; all others are played.
+/// One core with its real acceptor and leadership; all other cores are simulated.
 class OneCore {
  public:
   explicit OneCore(StartDisk disk, std::int64_t backups = 1)
@@ -50,7 +50,7 @@
         leadership(options, acceptor, membership, random, std::move(disk.replica)),
         accepted_(disk.record.accepted) {}
 
-  /// Lets some cores be heard, and the time go on with a tick each 50 ms.
+  /// Advances the time with a tick each 50 ms, and delivers heartbeats of the cores in `heard`.
   void run(double length) {
     for (MonotonicTime end = now + seconds(length); now < end;) {
       now = now + milliseconds(50);
@@ -65,7 +65,7 @@
       carryOut();
     }
   }
-  /// Runs until the condition holds, at most so long. Example: `runUntil([&] { ... }, 5)`.
+  /// Runs until the condition holds, at most `length` seconds; returns whether it holds.
   bool runUntil(const std::function<bool()>& holds, double length) {
     for (MonotonicTime end = now + seconds(length); now < end && !holds();) run(0.05);
     return holds();
@@ -89,16 +89,16 @@
   Membership membership;
   Leadership leadership;
   MonotonicTime now = at(10);
-  std::set<CoreId> heard;           // by the membership
-  std::set<CoreId> answering;       // their acceptors and disks
-  std::set<CoreId> leaving;         // of those that are heard
-  std::map<Address, CoreId> moved;  // cores that live where another one did
-  bool othersCopy = true;           // what they are asked to replicate
-  bool diskWorks = true;            // else writes stay under way
-  bool othersAccept = true;         // views that are proposed to them
+  std::set<CoreId> heard;           // send heartbeats to the membership
+  std::set<CoreId> answering;       // their acceptors and disks answer
+  std::set<CoreId> leaving;         // announce in heartbeats that they leave
+  std::map<Address, CoreId> moved;  // cores at an address that another core had
+  bool othersCopy = true;           // the others confirm replicas
+  bool diskWorks = true;            // else writes don't complete
+  bool othersAccept = true;         // the others accept proposed views
   std::vector<TicketId> pendingWrites;
-  std::vector<PrepareRequest> prepares;  // that left this core for another
-  std::vector<View> proposals;           // views that it asked another to accept
+  std::vector<PrepareRequest> prepares;  // sent by this core to others
+  std::vector<View> proposals;           // views that it asked others to accept
   std::vector<std::pair<Address, ReplicateReply>> replicateReplies;
 
  private:
--- a/tests/reconfiguration_test.cc
+++ b/tests/reconfiguration_test.cc
@@ -1,4 +1,4 @@
-// How the set of voters changes: majorities that meet, machines that leave, and bad disks.
+// Changes of the voter set: intersecting majorities, leaving cores, lost cores and bad disks.
 #include <bit>
 
 #include "core/core_node.h"
@@ -20,7 +20,7 @@
   return (voters & ~of) == 0 && std::popcount(voters) * 2 > std::popcount(of);
 }
 
-/// The definition itself: no majority of one set is apart from one of the other.
+/// The definition, by enumeration: no majority of one set is disjoint from one of the other.
 bool meetByDefinition(unsigned left, unsigned right) {
   for (unsigned ofLeft = left; ofLeft != 0; ofLeft = (ofLeft - 1) & left)
     for (unsigned ofRight = right; ofRight != 0; ofRight = (ofRight - 1) & right)
@@ -29,7 +29,8 @@
   return true;
 }
 
-/// A leader of five seconds' standing with so many voters, all of them heard and answering.
+/// A leader with the given number of voters, all of them reachable, a few seconds after its
+/// election.
 struct Leader {
   explicit Leader(std::uint64_t voters, std::int64_t backups = 1)
       : core(diskIn(viewWith(voters, backups)), backups) {
@@ -65,13 +66,13 @@
 
 TEST_GROUP(VoterSets){};
 
-TEST(VoterSets, MajoritiesMeetJustWhereTheDefinitionSaysSo) {
+TEST(VoterSets, MajoritiesMeetExactlyWhereTheDefinitionSaysSo) {
   for (unsigned left = 1; left < 128; ++left)
     for (unsigned right = 1; right < 128; ++right)
       CHECK(meetByDefinition(left, right) == majoritiesMeet(coresOf(left), coresOf(right)));
 }
 
-TEST(VoterSets, OneAddedOrRemovedAlwaysMeets) {
+TEST(VoterSets, MajoritiesMeetAfterOneVoterIsAddedOrRemoved) {
   std::vector<CoreId> voters{{1}};
   for (std::uint64_t next = 2; next <= 12; ++next) {
     std::vector<CoreId> larger = voters;
@@ -83,13 +84,13 @@
 
 TEST_GROUP(Reconfigurations){};
 
-TEST(Reconfigurations, ALeavingVoterIsDroppedBeforeItIsSilent) {
+TEST(Reconfigurations, ALeavingVoterIsRemovedBeforeItIsSilent) {
   Leader leader(4);
   leader.core.leaving = {{4}};
   CHECK(leader.settles({{1}, {2}, {3}}, 1));
 }
 
-TEST(Reconfigurations, TheSmallestSetWaitsForANewcomer) {
+TEST(Reconfigurations, ALeavingVoterOfTheSmallestSetStaysUntilANewcomerJoins) {
   Leader leader(3);
   leader.core.leaving = {{3}};
   leader.core.run(3);
@@ -99,7 +100,7 @@
   CHECK(leader.settles({{1}, {2}, {4}}, 2));
 }
 
-TEST(Reconfigurations, NoSetGrowsWhileItsOldVoterLeaves) {
+TEST(Reconfigurations, TheVoterSetDoesNotGrowWhileAVoterIsReplaced) {
   Leader leader(5);
   leader.core.leaving = {{5}};
   leader.core.heard.insert({6});
@@ -109,16 +110,17 @@
   for (const auto& view : leader.core.proposals) CHECK(view.voters.size() <= 5);
 }
 
-TEST(Reconfigurations, SlotsOfLostMachinesGoWhereTooFewLossesWouldBeBorne) {
+TEST(Reconfigurations, ALostVoterIsRemovedWhenTooFewFurtherLossesWouldBeTolerated) {
   Leader leader(7, 2);
   leader.lose({6});
   leader.core.run(4);
-  LONGS_EQUAL(7, leader.core.leadership.view().voters.size());  // six of seven bear two more
+  LONGS_EQUAL(
+      7, leader.core.leadership.view().voters.size());  // six of seven tolerate two more losses
   leader.lose({7});
   CHECK(leader.settles({{1}, {2}, {3}, {4}, {5}}, 6));
 }
 
-TEST(Reconfigurations, AVoterWhoseMachineHasAnotherDiskGoesAtOnce) {
+TEST(Reconfigurations, AVoterWhoseMachineHasANewDiskIsRemovedAtOnce) {
   Leader leader(3);
   leader.lose({3});
   Shuffle shuffle;  // the machine of core 3 with a new identity
@@ -137,12 +139,12 @@
   CHECK(leader.core.now - began < leader.core.options.replaceVoterAfter + seconds(0.3));
 }
 
-TEST(Reconfigurations, ALeaverThatAloneHasTheStateLeadsUntilOthersHaveIt) {
+TEST(Reconfigurations, ALeavingCoreWithTheOnlyReplicaLeadsUntilOthersHaveOne) {
   OneCore core(diskIn(viewOf(5, {2}, {kSelf}, 4)));
   core.heard = {{2}, {3}, {4}};
   core.run(0.5);
   core.leadership.leave(core.now);
-  core.heard = core.answering = {{3}, {4}};  // the leader is lost in this moment
+  core.heard = core.answering = {{3}, {4}};  // the leader is lost at the same time
   core.othersCopy = false;
   CHECK(core.runUntil([&] { return core.leadership.leads(core.now); }, 5));
   core.run(0.5);
@@ -155,7 +157,7 @@
         handedOver.backups == std::vector<CoreId>{{4}});
 }
 
-TEST(Reconfigurations, ALeaverLeavesElectionsToThoseThatStay) {
+TEST(Reconfigurations, ALeavingCoreLetsStayingCoresCampaignFirst) {
   OneCore core(diskIn(viewOf(5, kSelf, {{2}}, 4)));
   core.heard = core.answering = {{2}, {3}, {4}};
   CHECK(core.runUntil([&] { return core.leadership.names(core.now); }, 8));
@@ -167,7 +169,7 @@
 }
 
 TEST_GROUP(ShownStates){
-    /// A backup whose disk holds a change that its leader may never have acknowledged.
+    /// The disk of a backup with a change that its leader may never have acknowledged.
     static StartDisk diskWithATail(){StartDisk disk = diskIn(viewOf(5, {2}, {kSelf}, 4));
 Json change{{"kind", "weights"}, {"label", "spring"}, {"basedOn", "1.1"}};
 disk.replica.state.apply(change.dump(), "order", {5}, Options{});
@@ -176,7 +178,7 @@
 }
 ;
 
-TEST(ShownStates, ATailIsKeptBackUntilTheViewIsConfirmed) {
+TEST(ShownStates, AnUnacknowledgedChangeIsNotShownBeforeTheViewIsConfirmed) {
   OneCore core(diskWithATail());
   core.heard = core.answering = {{3}, {4}};
   core.othersCopy = false;
@@ -189,7 +191,7 @@
   CHECK(core.runUntil([&] { return core.leadership.names(core.now); }, 3));
 }
 
-TEST(ShownStates, WhatALeaderProvedBeforeIsShownAtOnce) {
+TEST(ShownStates, StateThatALeaderProvedBeforeIsShownAtOnce) {
   StartDisk disk = diskWithATail();
   SectionVersions proved = disk.replica.state.sections();
   OneCore core(std::move(disk));
@@ -215,7 +217,7 @@
   }
 };
 
-TEST(BadDisks, OneFailedSyncOfTheAcceptorsRecordIsForAll) {
+TEST(BadDisks, AFailedSyncOfTheAcceptorsRecordMakesTheWholeCoreSuspect) {
   Shuffle shuffle;
   shuffle.sender = coreRecord({2}, 1);
   step(Arrived{addressOfCore({2}), shuffle});
@@ -233,10 +235,10 @@
   CHECK(Json::parse(status[0].body)["diskSuspect"].get<bool>());
 }
 
-TEST(BadDisks, AWriteOfTheAcceptorThatHangsEndsTheLeadership) {
+TEST(BadDisks, AStalledWriteOfTheAcceptorEndsTheLeadership) {
   Leader leader(4);
   leader.core.diskWorks = false;
-  leader.lose({2});  // a change of view needs the own promise on disk
+  leader.lose({2});  // a view change needs its own promise on disk
   leader.core.run(3.5);
   CHECK(leader.core.leadership.isStalled());
   CHECK_FALSE(leader.core.leadership.leads(leader.core.now));
