--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -101,7 +101,7 @@
   bool idle() const { return phase_ == LeaderPhase::kFollowing && !leading_; }
   /// Whether the newest known views give this core a vote or a replica of the state.
   bool hasDuty() const { return hasDutyIn(view_) || hasDutyIn(chosen_); }
-  /// Whether the cores in `yes` include a majority of these voters.
+  /// Whether the cores include a majority of these voters.
   bool majority(const std::set<CoreId>& yes, const std::vector<CoreId>& voters) const;
   /// Whether these cores are a quorum of a view: a majority of its voters, and of the former ones
   /// until the view is known to be settled.
@@ -241,7 +241,7 @@
   View view_;                 // newest known
   View chosen_;               // newest known to be settled
   View wanted_;               // being prepared or proposed
-  View old_;                  // predecessor of wanted_
+  View old_;                  // the view that the next one replaces
   bool leading_ = false;      // this core leads view_
   bool unconfirmed_ = false;  // no confirmed backups: acknowledges nothing
   bool takingOver_ = false;   // campaigns, rather than changes its own view
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -34,8 +34,8 @@
   std::vector<MemberRecord> liveFronts() const;
   /// The live cores, including self if it is one.
   std::vector<MemberRecord> liveCores() const;
-  /// Addresses of the live routers that aren't leaving, without self; only those that `wanted`
-  /// accepts, if it is set.
+  /// Addresses of the live routers that aren't leaving, without self; only those that pass the
+  /// filter, if there is one.
   std::vector<Address> otherFronts(const std::function<bool(MemberId)>& wanted = nullptr) const;
   /// Addresses of all live members, without self.
   std::vector<Address> otherMembers() const;
--- a/tests/one_core.h
+++ b/tests/one_core.h
@@ -50,7 +50,7 @@
         leadership(options, acceptor, membership, random, std::move(disk.replica)),
         accepted_(disk.record.accepted) {}
 
-  /// Advances the time with a tick each 50 ms, and delivers heartbeats of the cores in `heard`.
+  /// Advances the time with a tick each 50 ms, and delivers heartbeats of the reachable cores.
   void run(double length) {
     for (MonotonicTime end = now + seconds(length); now < end;) {
       now = now + milliseconds(50);
