--- a/src/app/check_history_command.cc
+++ b/src/app/check_history_command.cc
@@ -1,4 +1,4 @@
-// `peppergate check-history FILE`: decides whether a recorded history is linearizable.
+// The check-history subcommand: checks whether a recorded history of calls is linearizable.
 #include <cstdio>
 #include <fstream>
 #include <iostream>
@@ -33,13 +33,13 @@
 int checkHistoryCommand(const Words& words) {
   std::string file;
   po::options_description options("check-history FILE");
-  options.add_options()("help", "show this")("file", po::value(&file)->required(),
-                                             "JSON lines, one call each; - for standard input");
+  options.add_options()("help", "print this help")(
+      "file", po::value(&file)->required(), "JSON lines with one call each; - for standard input");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"file"}); code >= 0) return code;
   std::ifstream opened(file);
   if (file != "-" && !opened) {
-    std::fprintf(stderr, "%s: cannot be read\n", file.c_str());
+    std::fprintf(stderr, "%s: cannot read the file\n", file.c_str());
     return kExitUsage;
   }
   const history::ReadResult read = history::readHistory(readAll(file == "-" ? std::cin : opened));
--- a/src/app/daemon_command.cc
+++ b/src/app/daemon_command.cc
@@ -1,4 +1,4 @@
-// The front, core and check subcommands: flags, the settings file, options.
+// The front, core and check subcommands: parse flags, the settings file and options.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -14,23 +14,24 @@
 namespace po = boost::program_options;
 
 po::options_description settingsOptions() {
-  po::options_description options("Settings (flags, or 'name = value' lines in a file)");
+  po::options_description options("Settings (as flags, or as 'name = value' lines in a file)");
   options.add_options()("fleet", po::value<std::string>()->default_value("peppergate"),
-                        "the fleet's name; frames of others are not taken")(
-      "member", po::value<std::string>()->default_value(""), "IP:PORT for frames between members")(
-      "pages", po::value<std::string>()->default_value(""), "IP:PORT of the operators' pages")(
+                        "name of the fleet; frames of other fleets are ignored")(
+      "member", po::value<std::string>()->default_value(""), "IP:PORT for traffic between members")(
+      "pages", po::value<std::string>()->default_value(""), "IP:PORT of the operator interface")(
       "callers", po::value<std::string>()->default_value(""),
-      "IP:PORT of the callers' listener (front)")("platform",
-                                                  po::value<std::string>()->default_value(""),
-                                                  "IP:PORT of the platform's engine list (front)")(
-      "district", po::value<std::string>()->default_value(""), "the district of this machine")(
+      "IP:PORT of the client listener (front)")("platform",
+                                                po::value<std::string>()->default_value(""),
+                                                "IP:PORT of the platform's engine list (front)")(
+      "district", po::value<std::string>()->default_value(""), "zone of this machine")(
       "seed", po::value<std::vector<std::string>>()->composing(),
-      "IP:PORT of another process; up to three")(
-      "data", po::value<std::string>()->default_value(""), "the data folder (core)")(
+      "IP:PORT of another member; up to three")("data", po::value<std::string>()->default_value(""),
+                                                "data folder (core)")(
       "found", po::value<std::size_t>()->default_value(0),
-      "found a new fleet once so many cores are seen (core, one machine, once)")(
-      "rehearsal", po::bool_switch(), "let POST /rehearsal bring about faults")(
-      "prop", po::value<std::vector<std::string>>()->composing(), "NAME=NUMBER; times in seconds");
+      "create a new fleet when this many cores are seen (core; on one machine, once)")(
+      "rehearsal", po::bool_switch(), "allow POST /rehearsal to inject faults")(
+      "prop", po::value<std::vector<std::string>>()->composing(),
+      "an option as NAME=NUMBER; times in seconds");
   return options;
 }
 
@@ -41,7 +42,7 @@
   if (address.value.empty() && !needed) return absl::OkStatus();
   if (!parseAddress(address.value, parsed))
     return absl::InvalidArgumentError(std::string(name) + ": '" + address.value +
-                                      "' is no IP:PORT");
+                                      "' is not IP:PORT");
   return absl::OkStatus();
 }
 
@@ -74,12 +75,12 @@
     for (const auto& seed : values["seed"].as<std::vector<std::string>>()) {
       sockaddr_in parsed{};
       if (!parseAddress(seed, parsed))
-        return absl::InvalidArgumentError("seed: '" + seed + "' is no IP:PORT");
+        return absl::InvalidArgumentError("seed: '" + seed + "' is not IP:PORT");
       setup.seeds.push_back({seed});
     }
   setup.dataFolder = values["data"].as<std::string>();
   if (!front && setup.dataFolder.empty())
-    return absl::InvalidArgumentError("data: a core needs its data folder");
+    return absl::InvalidArgumentError("data: a core requires a data folder");
   setup.bootstrap.cores = values["found"].as<std::size_t>();
   setup.rehearsal = values["rehearsal"].as<bool>();
   auto options = readOptions(values);
@@ -88,20 +89,21 @@
   return setup;
 }
 
-/// Reads flags and then the file that they name; flags go first.
+/// Reads the flags and the file that they name; flags take precedence over the file.
 int readAll(const Words& words, po::variables_map& values, std::string& file) {
   po::options_description all("Flags");
-  all.add_options()("help", "this text")("settings", po::value<std::string>(), "the settings file");
+  all.add_options()("help", "print this help")("settings", po::value<std::string>(),
+                                               "path of the settings file");
   all.add(settingsOptions());
   if (int code = parseWords(words, all, values); code >= 0) return code;
   if (values.count("settings") == 0) return -1;
   file = values["settings"].as<std::string>();
   std::ifstream stream(file);
   if (!stream) {
-    std::fprintf(stderr, "settings: can't read '%s'\n", file.c_str());
+    std::fprintf(stderr, "settings: cannot read '%s'\n", file.c_str());
     return kExitUsage;
   }
-  // Read afresh, since defaults of the flags would hide the file's values.
+  // Parsed again into an empty map, since the flags' default values would hide those of the file.
   po::variables_map both;
   try {
     po::store(po::command_line_parser(words).options(all).run(), both);
@@ -136,10 +138,10 @@
     po::variables_map again;
     std::string unused;
     if (readAll(words, again, unused) >= 0)
-      return absl::InvalidArgumentError("the settings can't be read");
+      return absl::InvalidArgumentError("cannot read the settings");
     auto options = readOptions(again);
     if (!options.ok()) return options.status();
-    // Options that hold the protocols together only change with a restart.
+    // Options that the protocols between members depend on change only with a restart.
     return mayReloadOnly(running, *options);
   });
 }
@@ -155,7 +157,7 @@
     std::fprintf(stderr, "%s\n", std::string(setup.status().message()).c_str());
     return kExitUsage;
   }
-  std::printf("good settings for a %s\n", front ? "front" : "core");
+  std::printf("settings are valid for a %s\n", front ? "front" : "core");
   return kExitGood;
 }
 
--- a/src/app/http_once.h
+++ b/src/app/http_once.h
@@ -1,10 +1,10 @@
 #pragma once
-// One HTTP call from the command line, waited for.
+// A blocking HTTP call for command-line tools.
 #include "io/web_client.h"
 
 namespace peppergate {
 
-/// Example: `httpOnce({"127.0.0.1:7201"}, "GET", "/status", "").status`.
+/// Sends one HTTP request and waits for its answer; status 0 if there is none.
 WebResult httpOnce(const Address& address, const std::string& method, const std::string& path,
                    const std::string& body, Duration timeout = seconds(8));
 
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,4 +1,4 @@
-// One program; the role is a subcommand.
+// The entry point: dispatches to the subcommands.
 #include <glog/logging.h>
 
 #include <array>
@@ -22,27 +22,28 @@
   std::string_view help;
 };
 constexpr std::array kCommands{
-    CommandRow{"node", &nodeCommand, "run a daemon by the platform's settings file"},
-    CommandRow{"front", &frontCommand, "run a front: the callers' listener, one of many"},
-    CommandRow{"core", &coreCommand, "run a core machine: control state, votes and holds"},
-    CommandRow{"setup", &setupCommand,
-               "apply, change, show or stamp the setup; name weights; keys"},
-    CommandRow{"trace", &traceCommand, "follow one change through all daemons"},
-    CommandRow{"check", &checkCommand, "check a settings file and its props"},
+    CommandRow{"node", &nodeCommand, "run a daemon from the platform's settings file"},
+    CommandRow{"front", &frontCommand, "run a router, which serves clients"},
+    CommandRow{"core", &coreCommand, "run a core, which replicates the control state"},
+    CommandRow{"setup", &setupCommand, "show or change the setup, weights and keys"},
+    CommandRow{"trace", &traceCommand, "show on which daemons a change is in force"},
+    CommandRow{"check", &checkCommand, "check a settings file and its options"},
 #ifndef PEPPERGATE_DAEMONS_ONLY
-    CommandRow{"rehearse", &rehearseCommand, "run scenarios on simulated time, over seeds"},
+    CommandRow{"rehearse", &rehearseCommand,
+               "run scenarios in simulated time with ranges of seeds"},
     CommandRow{"rehearse-routers", &routerRehearseCommand,
-               "run scenarios of fleets of routers on simulated time"},
+               "run scenarios of router fleets in simulated time"},
     CommandRow{"model-check", &modelCheckCommand,
-               "search the schedules of a modelled fleet of control machines"},
+               "search schedules of a modelled fleet of cores for violations"},
     CommandRow{"rehearse-schedules", &scheduleRehearseCommand,
-               "run random schedules of every trouble on simulated time"},
-    CommandRow{"place", &placeCommand, "solve placements in districts from constraints in a file"},
-    CommandRow{"hollow", &hollowCommand, "measure a hollow fleet's slopes on simulated time"},
+               "run random schedules of mixed failures in simulated time"},
+    CommandRow{"place", &placeCommand, "solve the placement constraints in a file"},
+    CommandRow{"hollow", &hollowCommand,
+               "measure how costs grow with the size of a simulated fleet"},
     CommandRow{"standin", &standinCommand,
-               "run a stand-in: engine, store, desk, platform, requester"},
+               "run a stand-in: engine, desk, store, platform or requester"},
     CommandRow{"check-history", &checkHistoryCommand,
-               "decide whether a recorded history of operators' calls is linearizable"},
+               "check whether a recorded history of operator calls is linearizable"},
 #endif
     CommandRow{"version", &versionCommand, "print the version"},
 };
@@ -52,7 +53,7 @@
   for (const auto& row : kCommands)
     std::fprintf(to, "  %-16.*s %.*s\n", static_cast<int>(row.name.size()), row.name.data(),
                  static_cast<int>(row.help.size()), row.help.data());
-  std::fprintf(to, "\n'peppergate COMMAND --help' tells a command's flags.\n");
+  std::fprintf(to, "\n'peppergate COMMAND --help' prints the flags of a command.\n");
 }
 
 }  // namespace
--- a/src/app/model_check_command.cc
+++ b/src/app/model_check_command.cc
@@ -1,4 +1,5 @@
-// Searches the schedules of a modelled fleet of real control machines, or replays one of them.
+// The model-check subcommand: searches schedules of a modelled fleet that runs the real control
+// code, or replays one schedule.
 #include <cstdio>
 #include <fstream>
 #include <sstream>
@@ -25,47 +26,54 @@
 
 po::options_description flags() {
   po::options_description options("peppergate model-check");
-  options.add_options()("help", "this text")("machines", po::value<int>()->default_value(3),
-                                             "core machines, 3 to 9")(
-      "voters", po::value<int>()->default_value(0), "voter slots; 0: one for each machine")(
-      "tolerate", po::value<int>()->default_value(1), "disks that may be lost at once")(
-      "orders", po::value<int>()->default_value(3), "of two operators together, 1 to 8")(
-      "seed", po::value<std::uint64_t>()->default_value(1), "of the machines' random numbers")(
-      "tick-ms", po::value<int>()->default_value(300), "time between two ticks")(
-      "horizon-ms", po::value<int>()->default_value(4500), "modelled time of a schedule")(
+  options.add_options()("help", "print this help")("machines", po::value<int>()->default_value(3),
+                                                   "number of cores, 3 to 9")(
+      "voters", po::value<int>()->default_value(0), "number of voter slots; 0: one per core")(
+      "tolerate", po::value<int>()->default_value(1), "number of disks that may be lost at once")(
+      "orders", po::value<int>()->default_value(3),
+      "number of changes that two operators submit in total, 1 to 8")(
+      "seed", po::value<std::uint64_t>()->default_value(1), "seed of the cores' random numbers")(
+      "tick-ms", po::value<int>()->default_value(300), "interval between two ticks")(
+      "horizon-ms", po::value<int>()->default_value(4500), "modelled duration of a schedule")(
       "recovery-ms", po::value<int>()->default_value(0),
-      "a leader must be there so long after the horizon; 0: not checked")(
+      "time after the horizon within which a leader must exist; 0: not checked")(
       "granularity", po::value<std::string>()->default_value("fine"),
       "where a schedule may depart from the default order: coarse, fine or full")(
-      "departures", po::value<int>()->default_value(2), "in one schedule, at most")(
+      "departures", po::value<int>()->default_value(2),
+      "largest number of departures in one schedule")(
       "limit", po::value<std::vector<std::string>>()->composing(),
-      "ACTION=COUNT: how often in one schedule; '*=0' first forbids all")(
+      "ACTION=COUNT: how often an action may occur in one schedule; '*=0' first forbids all")(
       "rule", po::value<std::vector<std::string>>()->composing(),
-      "judge by this rule alone, or by these; else by all")(
+      "check only this rule; may be repeated; default: all rules")(
       "fault", po::value<std::vector<std::string>>()->composing(),
-      "switch a fault on in the control code, to see that it is found")(
-      "suite", po::bool_switch(), "the fixed searches of every test run; other flags are ignored")(
+      "inject a fault into the control code, to verify that it is found")(
+      "suite", po::bool_switch(),
+      "run the fixed searches of the test suite; other flags are ignored")(
       "walks", po::value<std::string>(),
-      "random schedules of seeds FIRST-LAST instead of a search")(
-      "share", po::value<double>()->default_value(0.05), "of places where a walk departs")(
+      "run random schedules of the seeds FIRST-LAST instead of a search")(
+      "share", po::value<double>()->default_value(0.05),
+      "share of the choices at which a random schedule departs")(
       "steered", po::bool_switch(),
-      "walks that replace machines rather than lose messages, most where views change")(
-      "threads", po::value<unsigned>()->default_value(2), "how many at a time")(
-      "seconds", po::value<double>()->default_value(600), "real time, at most")(
-      "most-states", po::value<std::uint64_t>()->default_value(50'000'000), "remembered, at most")(
-      "failing-to", po::value<std::string>()->default_value(""), "file for a failing schedule")(
-      "replay", po::value<std::string>()->default_value(""), "run this schedule, show its steps")(
-      "quiet", po::bool_switch(), "only the verdict of a replay");
+      "prefer replacing cores, mostly during view changes, to losing messages in random schedules")(
+      "threads", po::value<unsigned>()->default_value(2), "number of threads")(
+      "seconds", po::value<double>()->default_value(600), "limit of the run in real time")(
+      "most-states", po::value<std::uint64_t>()->default_value(50'000'000),
+      "largest number of states kept in memory")("failing-to",
+                                                 po::value<std::string>()->default_value(""),
+                                                 "file to which a failing schedule is written")(
+      "replay", po::value<std::string>()->default_value(""),
+      "file of a schedule to run; prints its steps")("quiet", po::bool_switch(),
+                                                     "print only the result of a replay");
   return options;
 }
 
 absl::Status readLimit(const std::string& text, ModelOptions& options) {
   auto sign = text.find('=');
-  if (sign == std::string::npos) return absl::InvalidArgumentError("--limit wants ACTION=COUNT");
+  if (sign == std::string::npos) return absl::InvalidArgumentError("--limit requires ACTION=COUNT");
   char* end = nullptr;
   long count = std::strtol(text.c_str() + sign + 1, &end, 10);
   if (end == text.c_str() + sign + 1 || *end != '\0' || count < 0 || count > 1'000'000)
-    return absl::InvalidArgumentError("--limit wants ACTION=COUNT");
+    return absl::InvalidArgumentError("--limit requires ACTION=COUNT");
   if (text.substr(0, sign) == "*") {
     options.limits.fill(static_cast<int>(count));
     options.limit(model::ActionKind::kRelease) = 1'000'000;
@@ -83,7 +91,7 @@
   int read = std::sscanf(text.c_str(), "%llu-%llu%c", &first, &last, &rest);
   if (read == 1) last = first;
   if (read < 1 || read > 2 || first < 1 || last < first)
-    return absl::InvalidArgumentError("--walks wants FIRST-LAST with 1 <= FIRST <= LAST");
+    return absl::InvalidArgumentError("--walks requires FIRST-LAST with 1 <= FIRST <= LAST");
   bounds.firstSeed = first;
   bounds.lastSeed = last;
   return absl::OkStatus();
@@ -123,14 +131,16 @@
   CommandOptions options;
   if (auto status = readModel(values, options.model); !status.ok()) return status;
   double time = values["seconds"].as<double>(), share = values["share"].as<double>();
-  if (!(time > 0) || time > 1e6) return absl::InvalidArgumentError("--seconds: above 0");
-  if (!(share >= 0) || share > 1) return absl::InvalidArgumentError("--share: 0 to 1");
+  if (!(time > 0) || time > 1e6)
+    return absl::InvalidArgumentError("--seconds must be above 0 and at most 1000000");
+  if (!(share >= 0) || share > 1)
+    return absl::InvalidArgumentError("--share must be between 0 and 1");
   options.search.departures = values["departures"].as<int>();
   if (options.search.departures < 0 || options.search.departures > 100)
-    return absl::InvalidArgumentError("--departures: 0 to 100");
+    return absl::InvalidArgumentError("--departures must be between 0 and 100");
   options.search.threads = options.walk.threads = values["threads"].as<unsigned>();
   if (options.search.threads < 1 || options.search.threads > 256)
-    return absl::InvalidArgumentError("--threads: 1 to 256");
+    return absl::InvalidArgumentError("--threads must be between 1 and 256");
   options.search.time = options.walk.time = seconds(time);
   options.search.mostStates = values["most-states"].as<std::uint64_t>();
   options.walk.departureShare = share;
@@ -166,7 +176,7 @@
 
 int replayCommand(const CommandOptions& options) {
   std::ifstream file(options.replayFile);
-  if (!file) return usage(absl::NotFoundError("can't read " + options.replayFile));
+  if (!file) return usage(absl::NotFoundError("cannot read " + options.replayFile));
   std::stringstream text;
   text << file.rdbuf();
   auto schedule = model::parseSchedule(text.str());
@@ -175,7 +185,7 @@
   if (!report.ok()) return usage(report.status());
   if (!options.quiet)
     for (const auto& step : report->steps) std::printf("%s\n", step.c_str());
-  std::printf("%d places with a choice\n", report->positions);
+  std::printf("%d choices\n", report->positions);
   return verdict(report->violation);
 }
 
--- a/src/app/place_command.cc
+++ b/src/app/place_command.cc
@@ -1,4 +1,4 @@
-// Placements from constraints in a file.
+// The place subcommand: solves the placement constraints in a file.
 #include <cstdio>
 #include <fstream>
 #include <sstream>
@@ -13,8 +13,9 @@
 
 int placeCommand(const Words& words) {
   po::options_description options("peppergate place FILE");
-  options.add_options()("help", "this text")("file", po::value<std::string>()->required(),
-                                             "districts, engines, tenants and constraints, JSON");
+  options.add_options()("help", "print this help")(
+      "file", po::value<std::string>()->required(),
+      "JSON file with districts, engines, tenants and constraints");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"file"}); code >= 0) return code;
   std::ifstream file(values["file"].as<std::string>());
--- a/src/app/rehearse_command.cc
+++ b/src/app/rehearse_command.cc
@@ -1,4 +1,5 @@
-// Scenarios over seeds, several at a time; a failing seed replays exactly.
+// The rehearse subcommand: runs scenarios with ranges of seeds, in parallel. The same seed always
+// gives the same run.
 #include <atomic>
 #include <cstdio>
 #include <filesystem>
@@ -25,35 +26,36 @@
 }
 
 struct Job {
-  const Scenario* scenario;  // none: a drawn day
+  const Scenario* scenario;  // nullptr: a random schedule
   std::uint64_t seed;
 };
 
-/// Prints a failing drawn day, cut down to what matters, as a scenario file.
+/// Shrinks a failing random schedule and prints it as a scenario file.
 void printCutDown(const RandomDay& day, const RunReport& report) {
-  std::printf("---- the same failure with less ----\n%s----\n",
-              cutDown(day, report).text().c_str());
+  std::printf("---- shrunk schedule ----\n%s----\n", cutDown(day, report).text().c_str());
 }
 
 }  // namespace
 
 int rehearseCommand(const Words& words) {
   po::options_description options("peppergate rehearse FILE|FOLDER");
-  options.add_options()("help", "this text")("path", po::value<std::string>()->default_value(""),
-                                             "a scenario, or a folder of them")(
-      "days", po::bool_switch(), "draw a day of failures from each seed instead of a scenario")(
-      "requests", po::value<double>()->default_value(25), "streams a second of a drawn day")(
-      "print", po::bool_switch(), "print the drawn days, run nothing")(
-      "seeds", po::value<std::string>()->default_value("1-3"), "FIRST-LAST, or one seed")(
+  options.add_options()("help", "print this help")(
+      "path", po::value<std::string>()->default_value(""), "a scenario file, or a folder of them")(
+      "days", po::bool_switch(),
+      "run a random schedule of failures for each seed instead of a scenario")(
+      "requests", po::value<double>()->default_value(25),
+      "streams per second of a random schedule")("print", po::bool_switch(),
+                                                 "only print the random schedules")(
+      "seeds", po::value<std::string>()->default_value("1-3"), "FIRST-LAST, or a single seed")(
       "jobs", po::value<unsigned>()->default_value(std::thread::hardware_concurrency()),
-      "how many at a time")("bounds", po::bool_switch(),
-                            "print the worst of each bound that was seen")(
-      "figures", po::bool_switch(), "print each run's figures");
+      "number of parallel runs")("bounds", po::bool_switch(),
+                                 "print the worst observed value of each bound")(
+      "figures", po::bool_switch(), "print the metrics of each run");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"path"}); code >= 0) return code;
   std::uint64_t first = 0, last = 0;
   if (!readSeeds(values["seeds"].as<std::string>(), first, last)) {
-    std::fprintf(stderr, "--seeds wants FIRST-LAST with 1 <= FIRST <= LAST\n");
+    std::fprintf(stderr, "--seeds requires FIRST-LAST with 1 <= FIRST <= LAST\n");
     return kExitUsage;
   }
   std::string path = values["path"].as<std::string>();
@@ -61,7 +63,7 @@
   DaySize size;
   size.requests = values["requests"].as<double>();
   if (days == !path.empty()) {
-    std::fprintf(stderr, "either a path or --days is needed\n");
+    std::fprintf(stderr, "either a path or --days is required\n");
     return kExitUsage;
   }
   if (days && values["print"].as<bool>()) {
@@ -86,7 +88,7 @@
   if (days)
     for (std::uint64_t seed = first; seed <= last; ++seed) jobs.push_back({nullptr, seed});
   if (jobs.empty()) {
-    std::fprintf(stderr, "nothing to run at '%s'\n", path.c_str());
+    std::fprintf(stderr, "no scenarios found at '%s'\n", path.c_str());
     return kExitUsage;
   }
   std::atomic<std::size_t> next{0}, failed{0};
--- a/src/app/router_rehearse_command.cc
+++ b/src/app/router_rehearse_command.cc
@@ -1,4 +1,5 @@
-// Scenarios of fleets of routers over seeds, several at a time; a failing seed replays exactly.
+// The rehearse-routers subcommand: runs scenarios of router fleets with ranges of seeds, in
+// parallel. The same seed always gives the same run.
 #include <atomic>
 #include <cstdio>
 #include <filesystem>
@@ -28,7 +29,7 @@
   std::uint64_t seed;
 };
 
-/// All of a path's scenarios with all seeds; false if one can't be read.
+/// Makes one job for each scenario of a path and each seed; false if a scenario can't be read.
 bool gather(const std::string& path, std::uint64_t first, std::uint64_t last,
             std::vector<Job>& jobs) {
   auto files = std::filesystem::is_directory(path) ? scenarioFiles(path) : std::vector{path};
@@ -65,20 +66,21 @@
 
 int routerRehearseCommand(const Words& words) {
   po::options_description options("peppergate rehearse-routers FILE|FOLDER");
-  options.add_options()("help", "this text")("path", po::value<std::string>()->default_value(""),
-                                             "a scenario, or a folder of them")(
-      "days", po::bool_switch(), "draw a day of failures from each seed instead of a scenario")(
-      "print", po::bool_switch(), "print the drawn days, run nothing")(
-      "seeds", po::value<std::string>()->default_value("1-2"), "FIRST-LAST, or one seed")(
+  options.add_options()("help", "print this help")(
+      "path", po::value<std::string>()->default_value(""), "a scenario file, or a folder of them")(
+      "days", po::bool_switch(),
+      "run a random schedule of failures for each seed instead of a scenario")(
+      "print", po::bool_switch(), "only print the random schedules")(
+      "seeds", po::value<std::string>()->default_value("1-2"), "FIRST-LAST, or a single seed")(
       "jobs", po::value<unsigned>()->default_value(std::thread::hardware_concurrency()),
-      "how many at a time")("figures", po::bool_switch(), "print each run's figures");
+      "number of parallel runs")("figures", po::bool_switch(), "print the metrics of each run");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"path"}); code >= 0) return code;
   std::uint64_t first = 0, last = 0;
   std::string path = values["path"].as<std::string>();
   bool days = values["days"].as<bool>();
   if (!readSeeds(values["seeds"].as<std::string>(), first, last) || days == !path.empty()) {
-    std::fprintf(stderr, "wanted: a path or --days, and --seeds FIRST-LAST\n");
+    std::fprintf(stderr, "required: either a path or --days, and --seeds FIRST-LAST\n");
     return kExitUsage;
   }
   std::vector<Job> jobs;
--- a/src/app/schedule_rehearse_command.cc
+++ b/src/app/schedule_rehearse_command.cc
@@ -1,5 +1,5 @@
-// Random schedules of every trouble over seeds, several at a time; a failing seed replays exactly
-// and is printed with what it doesn't need left out.
+// The rehearse-schedules subcommand: runs random schedules of mixed failures with a range of seeds,
+// in parallel. The same seed always gives the same run; a failing one can be shrunk.
 #include <atomic>
 #include <cstdio>
 #include <mutex>
@@ -14,8 +14,8 @@
 
 namespace po = boost::program_options;
 
-constexpr int kShrinkRuns = 60;         // at most, for one failing schedule
-constexpr std::size_t kMostShrunk = 3;  // failing schedules that are shrunk
+constexpr int kShrinkRuns = 60;         // at most, to shrink one failing schedule
+constexpr std::size_t kMostShrunk = 3;  // number of failing schedules that are shrunk
 
 struct SeedRange {
   std::uint64_t first = 0, last = 0;
@@ -28,7 +28,7 @@
   return !text.empty() && *end == '\0' && seeds.first >= 1 && seeds.last >= seeds.first;
 }
 
-/// Runs all seeds and prints those that fail.
+/// Runs all seeds and prints the failing schedules.
 class ScheduleRuns {
  public:
   ScheduleRuns(Interface interface, SeedRange seeds, bool shrinks, bool figures)
@@ -38,7 +38,7 @@
         figures_(figures),
         next_(seeds.first) {}
 
-  /// Gives the number of schedules that failed.
+  /// Returns the number of schedules that failed.
   std::size_t run(unsigned jobs) {
     std::vector<std::thread> threads;
     for (unsigned index = 0; index < std::max(1U, jobs); ++index)
@@ -66,7 +66,7 @@
     std::printf("FAILED %s seed %llu\n", report.name.c_str(),
                 static_cast<unsigned long long>(report.seed));
     for (const auto& failure : report.failures) std::printf("    %s\n", failure.c_str());
-    if (shrunk) std::printf("---- the same failure with less ----\n%s----\n", least.text().c_str());
+    if (shrunk) std::printf("---- shrunk schedule ----\n%s----\n", least.text().c_str());
     std::fflush(stdout);
   }
 
@@ -89,21 +89,21 @@
 
 int scheduleRehearseCommand(const Words& words) {
   po::options_description options("peppergate rehearse-schedules streams|routers");
-  options.add_options()("help", "this text")(
+  options.add_options()("help", "print this help")(
       "interface", po::value<std::string>()->default_value(""), "streams or routers")(
-      "print", po::bool_switch(), "print the schedules, run nothing")(
-      "shrink", po::bool_switch(), "leave out of the first failing ones what they don't need")(
-      "figures", po::bool_switch(), "print each run's figures")(
-      "seeds", po::value<std::string>()->default_value("1-20"), "FIRST-LAST, or one seed")(
+      "print", po::bool_switch(), "only print the schedules")("shrink", po::bool_switch(),
+                                                              "shrink the first failing schedules")(
+      "figures", po::bool_switch(), "print the metrics of each run")(
+      "seeds", po::value<std::string>()->default_value("1-20"), "FIRST-LAST, or a single seed")(
       "jobs", po::value<unsigned>()->default_value(std::thread::hardware_concurrency()),
-      "how many at a time");
+      "number of parallel runs");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"interface"}); code >= 0) return code;
   std::string name = values["interface"].as<std::string>();
   SeedRange seeds;
   if (!readSeeds(values["seeds"].as<std::string>(), seeds) ||
       (name != "streams" && name != "routers")) {
-    std::fprintf(stderr, "wanted: streams or routers, and --seeds FIRST-LAST\n");
+    std::fprintf(stderr, "required: streams or routers, and --seeds FIRST-LAST\n");
     return kExitUsage;
   }
   Interface interface = name == "routers" ? Interface::kRouters : Interface::kStreams;
--- a/src/app/setup_command.cc
+++ b/src/app/setup_command.cc
@@ -1,4 +1,5 @@
-// The operators' command line: changes by change id, repeated until there is a clear answer.
+// The setup and trace subcommands. A change is retried under its change id until its outcome is
+// known.
 #include <array>
 #include <cstdio>
 #include <fstream>
@@ -29,7 +30,7 @@
   return result.status == 200 ? kExitGood : kExitFailed;
 }
 
-/// Sends a change until it is answered clearly; the id keeps repeats one change.
+/// Sends a change until the answer is definite. The change id makes retries idempotent.
 int sendChange(const std::vector<std::string>& addresses, Json change,
                const std::string& changeId) {
   change["changeId"] = changeId;
@@ -48,7 +49,7 @@
 struct Asked {
   po::variables_map values;
   std::vector<std::string> addresses;
-  mutable bool unreachable = false;  // no daemon could say what is newest
+  mutable bool unreachable = false;  // no daemon answered with the current versions
   std::string text(const char* name) const {
     return values.count(name) > 0 ? values[name].as<std::string>() : std::string();
   }
@@ -65,27 +66,27 @@
   return {};
 }
 
-// Each verb makes the change it sends; a wrong flag leaves it null.
+// The functions below make the change for each verb; they return null if a flag is invalid.
 Json makeApply(const Asked& asked) {
   std::ifstream file(asked.text("file"));
   std::stringstream text;
   text << file.rdbuf();
   Json document = Json::parse(text.str(), nullptr, false);
   if (document.is_discarded()) {
-    std::fprintf(stderr, "file: '%s' is no readable JSON\n", asked.text("file").c_str());
+    std::fprintf(stderr, "file: '%s' is not readable JSON\n", asked.text("file").c_str());
     return {};
   }
-  if (document.contains("kind")) return document;  // a ready-made change
+  if (document.contains("kind")) return document;  // the file holds a complete change
   return {{"kind", "apply"}, {"basedOn", currentBase(asked, "setup")}, {"setup", document}};
 }
 
 Json makeStamp(const Asked& asked) {
   Json parameters = Json::parse(asked.text("parameters"), nullptr, false);
   if (parameters.is_discarded()) {
-    std::fprintf(stderr, "parameters: no JSON\n");
+    std::fprintf(stderr, "parameters: invalid JSON\n");
     return {};
   }
-  if (parameters.contains("keys"))  // keys become digests before they leave this machine
+  if (parameters.contains("keys"))  // only digests of keys leave this machine
     for (auto& key : parameters["keys"]) key = keyDigest(key.get<std::string>()).value;
   return {{"kind", "stamp"},
           {"basedOn", currentBase(asked, "setup")},
@@ -103,7 +104,7 @@
 Json makeTemplate(const Asked& asked) {
   Json made = Json::parse(asked.text("made"), nullptr, false);
   if (made.is_discarded()) {
-    std::fprintf(stderr, "made: no JSON\n");
+    std::fprintf(stderr, "made: invalid JSON\n");
     return {};
   }
   return {{"kind", "template"},
@@ -168,26 +169,27 @@
   po::options_description options(
       "peppergate setup show|apply|change|template|stamp|parameters|remove|revert|weights|key-add|"
       "key-withdraw|example|schema");
-  options.add_options()("help", "this text")(
-      "verb", po::value<std::string>()->default_value("show"), "what to do")(
+  options.add_options()("help", "print this help")(
+      "verb", po::value<std::string>()->default_value("show"), "the operation")(
       "at", po::value<std::vector<std::string>>()->composing(),
-      "IP:PORT of any daemon's pages; may be repeated")("file", po::value<std::string>(),
-                                                        "apply, change: the JSON file")(
-      "tenant", po::value<std::string>(), "the tenant")("template", po::value<std::string>(),
-                                                        "stamp: the template")(
+      "IP:PORT of any daemon's operator interface; may be repeated")(
+      "file", po::value<std::string>(), "apply, change: the JSON file")(
+      "tenant", po::value<std::string>(), "name of the tenant")(
+      "template", po::value<std::string>(), "stamp: name of the template")(
       "parameters", po::value<std::string>()->default_value("{}"),
       "stamp: JSON with rank, wall, keys, weights")("made",
                                                     po::value<std::string>()->default_value("{}"),
                                                     "template: JSON with class and defaults")(
       "to", po::value<std::string>(), "revert: the version of an earlier setup")(
-      "dry-run", po::bool_switch(), "only say what would change")("label", po::value<std::string>(),
-                                                                  "weights: the label to load")(
-      "key", po::value<std::string>(), "key-add, key-withdraw: the key itself")(
-      "digest", po::value<std::string>(), "the same by digest")(
+      "dry-run", po::bool_switch(), "only print what would change")(
+      "label", po::value<std::string>(), "weights: the label to load")(
+      "key", po::value<std::string>(), "key-add, key-withdraw: the key")(
+      "digest", po::value<std::string>(), "key-add, key-withdraw: the digest of the key")(
       "profile", po::value<std::string>()->default_value("hutline"),
-      "example: hutline or fjordsyn")("based-on", po::value<std::string>(),
-                                      "the version this builds on; else the newest")(
-      "change-id", po::value<std::string>(), "the id of a change that is repeated");
+      "example: hutline or fjordsyn")(
+      "based-on", po::value<std::string>(),
+      "the version that the change is based on; default: the newest")(
+      "change-id", po::value<std::string>(), "change id; pass the same id to retry a change");
   Asked asked;
   if (int code = parseWords(words, options, asked.values, {"verb"}); code >= 0) return code;
   std::string verb = asked.text("verb");
@@ -196,7 +198,7 @@
     return kExitGood;
   }
   if (asked.values.count("at") == 0) {
-    std::fprintf(stderr, "--at is needed\n");
+    std::fprintf(stderr, "--at is required\n");
     return kExitUsage;
   }
   asked.addresses = asked.values["at"].as<std::vector<std::string>>();
@@ -219,10 +221,11 @@
 
 int traceCommand(const Words& words) {
   po::options_description options("peppergate trace");
-  options.add_options()("help", "this text")("at", po::value<std::string>()->required(),
-                                             "IP:PORT of any daemon's pages")(
+  options.add_options()("help", "print this help")("at", po::value<std::string>()->required(),
+                                                   "IP:PORT of any daemon's operator interface")(
       "section", po::value<std::string>()->default_value("setup"), "setup, keys or weights")(
-      "version", po::value<std::string>()->default_value(""), "EPOCH.SEQUENCE; else the newest");
+      "version", po::value<std::string>()->default_value(""),
+      "EPOCH.SEQUENCE; default: the newest");
   po::variables_map values;
   if (int code = parseWords(words, options, values); code >= 0) return code;
   std::string section = values["section"].as<std::string>();
@@ -239,7 +242,7 @@
   int missing = 0;
   std::printf("%s %s\n", section.c_str(), version.c_str());
   for (const auto& member : body["members"]) {
-    // Each daemon tells how long ago it was; no two clocks are compared.
+    // Each daemon reports ages instead of times, so clocks of different machines aren't compared.
     std::string pages = member["pages"];
     WebResult result = httpOnce({pages}, "GET", "/trace", "", seconds(2));
     Json answer = Json::parse(result.body, nullptr, false);
@@ -248,7 +251,7 @@
     else
       for (const auto& record : answer["installs"])
         if (record["section"] == section && record["version"] == version)
-          line = "told " + std::to_string(record["toldMillisecondsAgo"].get<std::int64_t>()) +
+          line = "received " + std::to_string(record["toldMillisecondsAgo"].get<std::int64_t>()) +
                  " ms ago, in force " +
                  std::to_string(record["inForceMillisecondsAgo"].get<std::int64_t>()) + " ms ago";
     if (line.starts_with("no")) ++missing;
--- a/src/app/standin_command.cc
+++ b/src/app/standin_command.cc
@@ -1,4 +1,4 @@
-// The stand-ins of what is outside: engines, desk, store, platform, requesters.
+// The standin subcommand: runs a stand-in for an external service or for clients.
 #include <csignal>
 #include <cstdio>
 #include <fstream>
@@ -40,7 +40,7 @@
   std::ifstream file(values["list"].as<std::string>());
   Json list = Json::parse(file, nullptr, false);
   if (list.is_discarded()) {
-    std::fprintf(stderr, "--list: no readable JSON\n");
+    std::fprintf(stderr, "--list: not readable JSON\n");
     return kExitUsage;
   }
   Loop loop;
@@ -59,7 +59,7 @@
     for (const auto& front : values["front"].as<std::vector<std::string>>())
       setup.fronts.push_back({front});
   if (setup.fronts.empty()) {
-    std::fprintf(stderr, "--front is needed\n");
+    std::fprintf(stderr, "--front is required\n");
     return kExitUsage;
   }
   signal(SIGPIPE, SIG_IGN);
@@ -79,23 +79,27 @@
 
 int standinCommand(const Words& words) {
   po::options_description options("peppergate standin engine|desk|store|platform|requester");
-  options.add_options()("help", "this text")("kind", po::value<std::string>()->required(),
-                                             "which stand-in")(
+  options.add_options()("help", "print this help")("kind", po::value<std::string>()->required(),
+                                                   "kind of the stand-in")(
       "listen", po::value<std::string>()->default_value("127.0.0.1:9000"), "IP:PORT")(
       "id", po::value<std::string>()->default_value("engine"), "the engine's id")(
-      "weights", po::value<std::uint64_t>()->default_value(1), "the weights an engine starts with")(
-      "link", po::value<double>()->default_value(60), "megabytes a second of its link")(
-      "cache", po::value<std::size_t>()->default_value(24), "how many parts an engine keeps")(
-      "documents", po::value<std::uint64_t>()->default_value(4),
-      "requester: documents of each tenant")("list", po::value<std::string>()->default_value(""),
-                                             "platform: the engine list, JSON")(
+      "weights", po::value<std::uint64_t>()->default_value(1),
+      "weights version that an engine starts with")(
+      "link", po::value<double>()->default_value(60),
+      "bandwidth of the engine's link in megabytes per second")(
+      "cache", po::value<std::size_t>()->default_value(24),
+      "number of prefix blocks that an engine caches")("documents",
+                                                       po::value<std::uint64_t>()->default_value(4),
+                                                       "requester: number of documents per tenant")(
+      "list", po::value<std::string>()->default_value(""),
+      "platform: JSON file with the engine list")(
       "profile", po::value<std::string>()->default_value("hutline"),
       "requester: hutline or fjordsyn")("rate", po::value<double>()->default_value(50),
-                                        "requester: streams a second")(
-      "seconds", po::value<double>()->default_value(10), "requester: how long")(
-      "seed", po::value<std::uint64_t>()->default_value(1), "requester: its random seed")(
+                                        "requester: streams per second")(
+      "seconds", po::value<double>()->default_value(10), "requester: duration")(
+      "seed", po::value<std::uint64_t>()->default_value(1), "requester: random seed")(
       "front", po::value<std::vector<std::string>>()->composing(),
-      "requester: a front's callers' listener");
+      "requester: IP:PORT of a router's client listener; may be repeated");
   po::variables_map values;
   if (int code = parseWords(words, options, values, {"kind"}); code >= 0) return code;
   std::string kind = values["kind"].as<std::string>();
--- a/src/config/fleet_config.cc
+++ b/src/config/fleet_config.cc
@@ -6,7 +6,7 @@
 namespace peppergate {
 namespace {
 
-/// The name of an item, if it has one. Example: `nameOf({"name":"r"})`.
+/// The name of an item, or nullptr if it has none.
 const std::string* nameOf(const Json& item) {
   if (!item.is_object()) return nullptr;
   auto found = item.find("name");
@@ -46,7 +46,7 @@
 }  // namespace
 
 std::string plainHost(std::string_view host) {
-  bool bracketed = host.starts_with('[');  // a numeric address with colons of its own
+  bool bracketed = host.starts_with('[');  // an IPv6 address, which contains colons
   std::size_t end = host.find(bracketed ? ']' : ':');
   if (end != std::string_view::npos) host = host.substr(0, bracketed ? end + 1 : end);
   std::string plain(host);
@@ -86,7 +86,7 @@
   if (auto upsert = amendment.find("upsert"); upsert != amendment.end() && upsert->is_object())
     for (const auto& [section, newer] : upsert->items()) {
       if (newer.is_null()) continue;
-      // Lists hold named items; anything else, as the limits, is replaced whole.
+      // Lists contain named items. Any other value, such as the limits, is replaced as a whole.
       if (newer.is_array()) upsertNamed(config[section], newer);
       else config[section] = newer;
     }
--- a/src/config/fleet_config.h
+++ b/src/config/fleet_config.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the operators configured: routes, services, tenants, limits. Read from the setup section.
+// The fleet configuration: routes, services, tenants and limits. It is part of the setup section.
 #include <absl/status/statusor.h>
 
 #include <functional>
@@ -17,13 +17,14 @@
 
 using ServiceName = Tagged<struct ServiceNameTag, std::string>;
 using ModelName = Tagged<struct ModelNameTag, std::string>;
-using ConfigVersion = Tagged<struct ConfigVersionTag, std::uint64_t>;  // rises in uneven steps
+using ConfigVersion =
+    Tagged<struct ConfigVersionTag, std::uint64_t>;  // increases, in steps of any size
 
-/// What may be repeated: safe requests freely, unsafe ones never; streams are unsafe unless
-/// the route lets them be resumed.
+/// Which requests may be retried: safe ones always, unsafe ones never, and streams only if the
+/// route allows them to be resumed.
 enum class RouteKind : std::uint8_t { kSafe = 0, kUnsafe, kStream };
 
-/// One service of a route and its part of the traffic. Example: `{{"model"}, 90}`.
+/// One service of a route and its weight in the distribution of the traffic.
 struct ServiceShare {
   ServiceName service;
   double weight = 1;
@@ -34,12 +35,12 @@
   std::string host;
   std::string prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kUnsafe;
-  Duration timeout;    // the longest time a request is kept
-  Duration target;     // within which an answer earns its full worth
-  Duration gapTarget;  // the longest pause between a stream's events that is still in time
-  int urgency = 5;     // 0 is the most urgent
-  int attempts = 1;    // engines that one request may be sent to
-  bool open = false;   // needs no key
+  Duration timeout;    // after which a request is given up
+  Duration target;     // response time within which an answer has its full value
+  Duration gapTarget;  // longest pause between two events of a stream that counts as in time
+  int urgency = 5;     // 0 is most urgent
+  int attempts = 1;    // number of engines to which a request may be sent
+  bool open = false;   // requires no key
   bool resumable = false;
   std::vector<ServiceShare> services;
   bool repeatable() const {
@@ -47,18 +48,18 @@
   }
 };
 
-/// What an engine of a service is made like.
+/// The properties of a service's engines.
 struct EngineShape {
   std::int64_t slots = 1;
-  std::int64_t kvTokens = 0;      // room for running requests and kept parts together
-  std::int64_t kvTokenBytes = 0;  // what a token weighs when it is moved
-  double linkMbps = 0;            // of moves, megabits a second
-  std::int64_t stride = 1;        // tokens in one event at most
-  std::int64_t largestPolls = 1;  // calls for events that it holds at once
+  std::int64_t kvTokens = 0;      // capacity for running requests and cached prefix blocks together
+  std::int64_t kvTokenBytes = 0;  // size of a token's key-value data when it is transferred
+  double linkMbps = 0;            // bandwidth for transfers, in megabits per second
+  std::int64_t stride = 1;        // largest number of tokens in one event
+  std::int64_t largestPolls = 1;  // largest number of concurrent polls for events
   std::vector<ModelName> models;
 };
 
-/// A store of kept parts; it serves no requests.
+/// A store of cached prefix blocks. It serves no requests.
 struct StoreShape {
   Address address;
   Zone zone;
@@ -70,7 +71,7 @@
 struct ServiceConfig {
   ServiceName name;
   std::string healthPath;
-  std::int64_t connectionLimit = 0;  // of one engine, from all callers; 0: none told
+  std::int64_t connectionLimit = 0;  // per engine, for all clients together; 0: not set
   std::optional<EngineShape> engine;
   std::optional<StoreShape> store;
 };
@@ -78,10 +79,10 @@
 struct TenantConfig {
   TenantId name;
   int urgency = 5;
-  bool isolated = false;  // shares no kept part with others
+  bool isolated = false;  // shares no cached prefix blocks with other tenants
 };
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and duration of client requests.
 struct RequestLimits {
   std::size_t headerBytes = 16 << 10;
   std::size_t bodyBytes = 4 << 20;
@@ -89,7 +90,7 @@
   Duration idle = seconds(15);
 };
 
-/// Hashes texts and views of texts alike, so that a look-up makes no copy.
+/// Hashes strings and string views alike, so that a lookup needs no copy.
 struct TextHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const {
@@ -99,46 +100,46 @@
 template <class Value>
 using ByText = std::unordered_map<std::string, Value, TextHash, std::equal_to<>>;
 
-/// The routes of one host. A look-up tries each length that a prefix has, the longest first.
+/// The routes of one host. A lookup tries each prefix length, the longest first.
 struct HostRoutes {
   std::vector<std::size_t> lengths;
-  ByText<std::size_t> byPrefix;  // indices of the configuration's routes
+  ByText<std::size_t> byPrefix;  // index of the route in the configuration
 };
 
-/// Example: `config.route("desk.example", "/a/b")` is the route with the longest prefix.
+/// A validated configuration, indexed for lookups by requests.
 struct FleetConfig {
-  ConfigVersion version;  // 0: none was ever taken
+  ConfigVersion version;  // 0: no configuration was installed
   std::vector<Route> routes;
   std::map<ServiceName, ServiceConfig> services;
   std::map<TenantId, TenantConfig> tenants;
-  ByText<TenantId> keys;  // key to its tenant
+  ByText<TenantId> keys;  // tenant by key
   RequestLimits limits;
-  ByText<HostRoutes> byHost;  // hosts as `plainHost` writes them
+  ByText<HostRoutes> byHost;  // keys are results of `plainHost`
   std::optional<ServiceName> storeName;
 
-  /// The route of a request; none means that no such route was configured. The host is compared
-  /// without its port and in lower case. Example: see the class.
+  /// The route with the longest prefix of the path, or nullptr if none matches. Hosts are compared
+  /// in lower case and without their port.
   const Route* route(std::string_view host, std::string_view path) const;
-  /// The tenant that holds a key. Example: `config.tenantOfKey("secret")`.
+  /// The tenant that owns a key, or nullptr if the key is unknown.
   const TenantConfig* tenantOfKey(std::string_view key) const;
-  /// The service with a store, if one is configured. Example: `config.store()`.
+  /// The first service with a store, or nullptr if none is configured.
   const ServiceConfig* store() const;
 };
 
-/// A host without its port, in lower case. Example: `plainHost("Desk.example:80")`.
+/// A host in lower case and without its port.
 std::string plainHost(std::string_view host);
 
-/// Checks a whole configuration; the first fault names its field, e.g. "[routes][3][service]".
-/// Example: `checkFleetConfig(document)` is nothing for a good one.
+/// Validates a whole configuration. Returns the first error with its field, for example
+/// "[routes][3][service]", or nothing if the configuration is valid.
 std::optional<FieldFault> checkFleetConfig(const Json& document);
-/// Reads a configuration, with the same checks. Example: `readFleetConfig(setup["fleet"])`.
+/// Parses a configuration, with the same checks.
 absl::StatusOr<FleetConfig> readFleetConfig(const Json& document);
-/// Checks the shape of an amendment; what it makes of a configuration is checked by itself.
-/// Example: `checkFleetAmendment(amendment)` names "[upsert][routes][0][name]".
+/// Validates the structure of an amendment. The resulting configuration must be validated
+/// separately.
 std::optional<FieldFault> checkFleetAmendment(const Json& amendment);
-/// Applies a checked amendment: named removals, then upserts, which replace by name in place or
-/// append. Example: `amendFleetConfig(config,
-/// {"version":9,"upsert":{"routes":[...]},"remove":{"routes":["r"]}})`.
+/// Applies a validated amendment: first removes items by name, then upserts items. An upsert
+/// replaces the item with the same name in place, or appends the item.
+/// Example: `{"version":9,"upsert":{"routes":[...]},"remove":{"routes":["r"]}}`.
 Json amendFleetConfig(Json config, const Json& amendment);
 
 }  // namespace peppergate
--- a/src/config/fleet_reader.cc
+++ b/src/config/fleet_reader.cc
@@ -1,4 +1,4 @@
-// Reads a configuration and checks it in the same pass, so that the two can't differ.
+// Parses and validates a configuration in the same pass, so that the two can't diverge.
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -10,17 +10,17 @@
 namespace peppergate {
 namespace {
 
-constexpr double kLargestWhole = 9e15;  // doubles are exact up to here
+constexpr double kLargestWhole = 9e15;  // below 2^53, so doubles are exact up to here
 
-/// The first fault of a document; once there is one, all further reading is idle.
+/// The first error in a document. Once it is set, all further reads do nothing.
 using Fault = std::optional<FieldFault>;
 
-/// The fields of one object. Absent and null are the same. Unknown fields are let be.
+/// Reads the fields of one object. A null field counts as missing; unknown fields are ignored.
 class Fields {
  public:
   Fields(const Json& object, std::string place, Fault& fault)
       : object_(object), place_(std::move(place)), fault_(fault) {
-    if (!object_.is_object()) wrong({}, "an object is needed");
+    if (!object_.is_object()) wrong({}, "must be an object");
   }
 
   void wrong(std::string_view name, std::string detail) const {
@@ -38,19 +38,19 @@
   bool text(const char* name, std::string& value) const {
     const Json* field = find(name);
     if (field == nullptr) return false;
-    if (!field->is_string()) wrong(name, "a text is needed");
+    if (!field->is_string()) wrong(name, "must be a string");
     else value = field->get_ref<const std::string&>();
     return true;
   }
 
   void needText(const char* name, std::string& value) const {
-    if (!text(name, value)) wrong(name, "is needed");
+    if (!text(name, value)) wrong(name, "is required");
   }
 
   bool number(const char* name, double& value) const {
     const Json* field = find(name);
     if (field == nullptr) return false;
-    if (!field->is_number()) wrong(name, "a number is needed");
+    if (!field->is_number()) wrong(name, "must be a number");
     else value = field->get<double>();
     return true;
   }
@@ -74,16 +74,16 @@
   void flag(const char* name, bool& value) const {
     const Json* field = find(name);
     if (field == nullptr) return;
-    if (!field->is_boolean()) wrong(name, "true or false is needed");
+    if (!field->is_boolean()) wrong(name, "must be true or false");
     else value = field->get<bool>();
   }
 
-  /// Calls `take` with each object of a list. Example: `each("routes", takeRoute)`.
+  /// Calls `take` with the fields of each object in a list.
   template <class Taker>
   void each(const char* name, Taker take) const {
     const Json* list = find(name);
     if (list == nullptr) return;
-    if (!list->is_array()) return wrong(name, "a list is needed");
+    if (!list->is_array()) return wrong(name, "must be a list");
     std::string place = inside(name);
     for (std::size_t index = 0; index < list->size() && !fault_; ++index) {
       Fields fields((*list)[index], place + "[" + std::to_string(index) + "]", fault_);
@@ -91,20 +91,20 @@
     }
   }
 
-  /// Calls `take` with each text of a list and its place. Example: a tenant's keys.
+  /// Calls `take` with each string in a list and its path within this object.
   template <class Taker>
   void eachText(const char* name, Taker take) const {
     const Json* list = find(name);
     if (list == nullptr) return;
-    if (!list->is_array()) return wrong(name, "a list is needed");
+    if (!list->is_array()) return wrong(name, "must be a list");
     for (std::size_t index = 0; index < list->size() && !fault_; ++index) {
       std::string where = std::string(name) + "][" + std::to_string(index);
-      if (!(*list)[index].is_string()) wrong(where, "a text is needed");
+      if (!(*list)[index].is_string()) wrong(where, "must be a string");
       else take((*list)[index].get_ref<const std::string&>(), where);
     }
   }
 
-  /// The fields of an object within this one. Example: `within("limits")`.
+  /// The fields of a nested object; nothing if it is missing.
   std::optional<Fields> within(const char* name) const {
     const Json* field = find(name);
     if (field == nullptr) return std::nullopt;
@@ -126,7 +126,7 @@
 constexpr std::array<KindRow, 3> kKinds{
     {{"safe", RouteKind::kSafe}, {"unsafe", RouteKind::kUnsafe}, {"stream", RouteKind::kStream}}};
 
-/// A kind that isn't known is taken for unsafe: that never runs anything twice.
+/// An unknown kind counts as unsafe, since unsafe requests are never run twice.
 RouteKind kindOf(std::string_view name) {
   auto row = std::ranges::find(kKinds, name, &KindRow::name);
   return row == kKinds.end() ? RouteKind::kUnsafe : row->kind;
@@ -150,13 +150,13 @@
  private:
   void readVersion(const Fields& fields) {
     const Json* version = fields.find("version");
-    if (version == nullptr) return fields.wrong("version", "is needed");
+    if (version == nullptr) return fields.wrong("version", "is required");
     if (version->is_number_unsigned()) config_.version = {version->get<std::uint64_t>()};
     else if (version->is_number_float() && version->get<double>() <= kLargestWhole &&
              std::floor(version->get<double>()) == version->get<double>() &&
              version->get<double>() > 0)
       config_.version = {static_cast<std::uint64_t>(version->get<double>())};
-    if (config_.version.value == 0) fields.wrong("version", "a whole number above 0 is needed");
+    if (config_.version.value == 0) fields.wrong("version", "must be an integer above 0");
   }
 
   void readService(const Fields& fields) {
@@ -205,7 +205,7 @@
     fields.needText("prefix", route.prefix);
     std::string kind;
     if (fields.text("kind", kind)) route.kind = kindOf(kind);
-    if (!fields.duration("timeoutMs", route.timeout)) fields.wrong("timeoutMs", "is needed");
+    if (!fields.duration("timeoutMs", route.timeout)) fields.wrong("timeoutMs", "is required");
     else if (route.timeout <= Duration{}) fields.wrong("timeoutMs", "must be above 0");
     if (!fields.duration("targetMs", route.target)) route.target = route.timeout;
     if (!fields.duration("gapTargetMs", route.gapTarget)) route.gapTarget = route.timeout;
@@ -220,7 +220,7 @@
       return fields.wrong("name", "another route is named '" + route.name + "'");
     HostRoutes& host = config_.byHost[plainHost(route.host)];
     if (!host.byPrefix.emplace(route.prefix, config_.routes.size()).second)
-      return fields.wrong("prefix", "another route has this host and prefix");
+      return fields.wrong("prefix", "another route has the same host and prefix");
     if (std::ranges::find(host.lengths, route.prefix.size()) == host.lengths.end())
       host.lengths.push_back(route.prefix.size());
     config_.routes.push_back(std::move(route));
@@ -231,7 +231,7 @@
     bool named = fields.text("service", single.value);
     if (named) checkService(fields, single);
     if (fields.find("services") == nullptr) {
-      if (!named) return fields.wrong("service", "is needed");
+      if (!named) return fields.wrong("service", "is required");
       route.services.push_back({std::move(single), 1});
       return;
     }
@@ -244,7 +244,7 @@
       if (added.weight < 0) share.wrong("weight", "must not be below 0");
       sum += added.weight;
     });
-    if (sum <= 0) fields.wrong("services", "the weights must sum to more than 0");
+    if (sum <= 0) fields.wrong("services", "the sum of the weights must be above 0");
   }
 
   void checkService(const Fields& fields, const ServiceName& name) const {
@@ -302,7 +302,7 @@
 std::optional<FieldFault> checkFleetAmendment(const Json& amendment) {
   Fault fault;
   Fields fields(amendment, "", fault);
-  if (fields.find("version") == nullptr) fields.wrong("version", "is needed");
+  if (fields.find("version") == nullptr) fields.wrong("version", "is required");
   constexpr std::array kSections{"routes", "services", "tenants"};
   auto upsert = fields.within("upsert");
   auto remove = fields.within("remove");
--- a/tests/config_fleet_test.cc
+++ b/tests/config_fleet_test.cc
@@ -1,4 +1,4 @@
-// The fleet's configuration: what is read out of it, what is refused, how it is amended.
+// The fleet configuration: parsing, validation and amendments.
 #include <array>
 #include <string>
 
@@ -32,7 +32,7 @@
 
 Json whole() { return Json::parse(kWhole); }
 
-/// The field that a changed configuration is refused for; empty: it is taken.
+/// The field for which a patched configuration is rejected; empty if it is accepted.
 std::string faultOf(const char* patch) {
   auto fault = checkFleetConfig(whole().patch(Json::parse(patch)));
   return fault ? fault->field : "";
@@ -44,7 +44,7 @@
 
 TEST_GROUP(FleetConfigs){};
 
-TEST(FleetConfigs, EveryFieldIsRead) {
+TEST(FleetConfigs, ReadsEveryField) {
   FleetConfig config = *readFleetConfig(whole());
   LONGS_EQUAL(7, config.version.value);
   const Route& ask = config.routes.at(0);
@@ -75,7 +75,7 @@
   CHECK(red.urgency == 1 && red.isolated && !config.tenants.at({"blue"}).isolated);
 }
 
-TEST(FleetConfigs, AKeyNamesItsTenant) {
+TEST(FleetConfigs, FindsTheTenantOfAKey) {
   FleetConfig config = *readFleetConfig(whole());
   CHECK(config.tenantOfKey("k2")->name == TenantId{"red"});
   CHECK(config.tenantOfKey("k3")->name == TenantId{"blue"});
@@ -83,7 +83,7 @@
   CHECK(config.tenantOfKey("") == nullptr);
 }
 
-TEST(FleetConfigs, TheLongestPrefixOfTheHostIsTheRoute) {
+TEST(FleetConfigs, LongestPrefixOfTheHostWins) {
   FleetConfig config = *readFleetConfig(whole());
   struct Row {
     const char* host;
@@ -106,7 +106,7 @@
   STRCMP_EQUAL("[::1]", plainHost("[::1]:80").c_str());
 }
 
-TEST(FleetConfigs, EveryFaultNamesItsField) {
+TEST(FleetConfigs, EveryErrorNamesItsField) {
   struct Row {
     const char* patch;
     const char* field;
@@ -164,7 +164,7 @@
   CHECK_FALSE(readFleetConfig(Json::object()).ok());
 }
 
-TEST(FleetConfigs, OddButValidOnesAreTaken) {
+TEST(FleetConfigs, AcceptsUnusualValidConfigs) {
   for (const char* patch :
        {"[]",
         R"([{"op":"remove","path":"/limits"},{"op":"remove","path":"/tenants"}])",
@@ -196,7 +196,7 @@
     STRCMP_EQUAL_TEXT("", faultOf(patch).c_str(), patch);
 }
 
-TEST(FleetConfigs, AnAmendmentReplacesInPlaceAppendsAndRemoves) {
+TEST(FleetConfigs, AmendmentReplacesInPlaceAppendsAndRemoves) {
   Json amendment = Json::parse(R"json({"version": 9, "upsert": {
       "routes": [{"name": "deep", "host": "desk.example", "prefix": "/z/", "timeoutMs": 1,
                   "service": "desk", "odd": 1.50},
@@ -221,7 +221,7 @@
   CHECK(config.tenantOfKey("k3") == nullptr);
 }
 
-TEST(FleetConfigs, AnAmendmentOfTheWrongShapeNamesItsField) {
+TEST(FleetConfigs, InvalidAmendmentNamesItsField) {
   struct Row {
     const char* amendment;
     const char* field;
--- a/tests/platform_calls_test.cc
+++ b/tests/platform_calls_test.cc
@@ -1,4 +1,4 @@
-// Calls to engines, stores and the list, and answers of all shapes.
+// Calls to engines, stores and the engine list, and parsing of valid and invalid answers.
 #include "platform/dialect.h"
 #include "tests/testing.h"
 #include "wire/json_fields.h"
@@ -31,7 +31,7 @@
 constexpr std::string_view kHeld =
     R"({"epoch":77,"next_token":120,"held":[["s1","5c",800,"m1"],["s1","91",16,"m1"]]})";
 
-/// Each shorter text and some hostile ones must be told as unreadable, none may end the process.
+/// Truncated and malformed bodies must be reported as unreadable and must not crash.
 template <class Reader>
 void hostile(std::string_view good, Reader status) {
   CHECK_EQUAL(200, status(answerOf(std::string(good))));
@@ -57,7 +57,7 @@
   TicketId ticket{5};
 };
 
-TEST(PlatformCalls, TheListIsAskedPageByPage) {
+TEST(PlatformCalls, EngineListIsRequestedByPage) {
   HttpCall call = dialect.call(ListEngines{ticket, "", seconds(2)});
   STRCMP_EQUAL("10.9.9.9:8300", call.address.value.c_str());
   STRCMP_EQUAL("GET", call.method.c_str());
@@ -67,7 +67,7 @@
   STRCMP_EQUAL("/engines?page_token=p%2050%2F%26", call.path.c_str());
 }
 
-TEST(PlatformCalls, AListPageIsRead) {
+TEST(PlatformCalls, ReadsAnEngineListPage) {
   EnginesListed listed = dialect.readList(ticket, answerOf(std::string(kPage)));
   CHECK_EQUAL(200, listed.status);
   CHECK(listed.ticket == ticket);
@@ -87,7 +87,7 @@
       dialect.readList(ticket, answerOf("{\"stations\":[],\"next_token\":null}")).nextPage.empty());
 }
 
-TEST(PlatformCalls, AListPageThatCannotBeReadIsNoPage) {
+TEST(PlatformCalls, InvalidEngineListPageGivesNoEngines) {
   hostile(kPage,
           [this](const HttpAnswer& answer) { return dialect.readList(ticket, answer).status; });
   for (auto [what, by] :
@@ -102,7 +102,7 @@
   }
 }
 
-TEST(PlatformCalls, AReportIsRead) {
+TEST(PlatformCalls, ReadsAnEngineReport) {
   HttpCall call = dialect.call(AskReport{ticket, {"10.9.2.9:80"}, seconds(1)});
   STRCMP_EQUAL("/peppergate/report", call.path.c_str());
   ReportAnswered answered = dialect.readReport(ticket, answerOf(std::string(kReport)));
@@ -119,7 +119,7 @@
   CHECK_EQUAL(kUnreadable, dialect.readReport(ticket, without).status);
 }
 
-TEST(PlatformCalls, AnOrderIsWritten) {
+TEST(PlatformCalls, WritesALoadOrder) {
   OrderWeights order;
   order.address = {"10.9.2.9:80"};
   order.engine = {"i-1"};
@@ -146,7 +146,7 @@
   CHECK(Json::parse(dialect.call(order).body)["mode"] == "hold_mail");
 }
 
-TEST(PlatformCalls, AnOrdersAnswerIsRead) {
+TEST(PlatformCalls, ReadsTheOutcomeOfALoadOrder) {
   for (auto [status, outcome] :
        {std::pair{202, OrderOutcome::kTaken}, std::pair{200, OrderOutcome::kHolds},
         std::pair{409, OrderOutcome::kBusy}, std::pair{412, OrderOutcome::kFenced},
@@ -163,7 +163,7 @@
   CHECK(dialect.readOrder(ticket, answer).outcome == OrderOutcome::kNotWritten);
 }
 
-TEST(PlatformCalls, ChangesOfKeptPartsArePolled) {
+TEST(PlatformCalls, PollsPrefixBlockEvents) {
   HttpCall call =
       dialect.call(PollParts{ticket, {"10.9.2.9:80"}, 118, milliseconds(800), seconds(2)});
   STRCMP_EQUAL("/peppergate/kv-events?since=118", call.path.c_str());
@@ -195,7 +195,7 @@
   }
 }
 
-TEST(PlatformCalls, AllKeptPartsAreListed) {
+TEST(PlatformCalls, ListsCachedPrefixBlocks) {
   HttpCall call = dialect.call(ListParts{ticket, {"10.9.2.9:80"}, seconds(2)});
   STRCMP_EQUAL("/peppergate/kv-list", call.path.c_str());
   PartsListed listed = dialect.readParts(ticket, answerOf(std::string(kHeld)));
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -1,4 +1,4 @@
-// Operators' calls, and configurations that read back as they were sent.
+// The operator API, and configurations that translate back to what was sent.
 #include "core/random.h"
 #include "platform/config_names.h"
 #include "platform/dialect.h"
@@ -33,7 +33,7 @@
 
 TEST_GROUP(PlatformConfigs){};
 
-TEST(PlatformConfigs, HaveTheProductsNames) {
+TEST(PlatformConfigs, AreTranslatedToTheProductsNames) {
   Json own = renameConfig(Json::parse(kConfig), Way::kToOwn);
   CHECK(own == Json::parse(R"({"version":7,"routes":[
     {"name":"r1","host":"a.example","prefix":"/x/","kind":"stream","timeoutMs":8000,
@@ -51,7 +51,7 @@
   CHECK(renameConfig(own, Way::kToPlatform) == Json::parse(kConfig));
 }
 
-TEST(PlatformConfigs, AFieldThatLooksLikeOneOfOursReadsBackAsItWas) {
+TEST(PlatformConfigs, FieldsNamedAsTheProductsAreRestored) {
   for (auto text :
        {R"({"version":1,"edition":2,"~version":3,"~~version":4,"services":"x"})",
         R"({"routes":[{"kind":"stream"},{"kind":"~stream"},{"kind":7},{"kind":null}]})",
@@ -68,13 +68,13 @@
   }
 }
 
-TEST(PlatformConfigs, NoTwoFieldsBecomeOne) {
+TEST(PlatformConfigs, DistinctFieldsStayDistinct) {
   Json own = renameConfig(Json::parse(R"({"version":1,"edition":2,"~version":3})"), Way::kToOwn);
   CHECK_EQUAL(3, own.size());
   CHECK_EQUAL(2, own["version"].get<int>());
 }
 
-TEST(PlatformConfigs, DrawnOnesReadBackAsTheyWere) {
+TEST(PlatformConfigs, RandomConfigsAreRestored) {
   Random random(7);
   std::vector<std::string> words;
   for (const auto& row : kRouteNames) {
@@ -107,7 +107,7 @@
                                            const std::string& method = "POST") {
     return dialect.readOperator(ticket, method, "/peppergate/" + path, headers, body);
   }
-  /// The status of a call that isn't passed on, or 0.
+  /// The status of a call that is rejected, or 0 if it is accepted.
   int refused(const std::string& path, const std::string& body, const Headers& headers = kOnFive,
               const std::string& method = "POST") {
     auto call = ask(path, body, headers, method);
@@ -116,7 +116,7 @@
   }
 };
 
-TEST(PlatformOperators, AWholeConfigurationIsAChange) {
+TEST(PlatformOperators, ReplaceBecomesAChange) {
   auto call = ask("Config.Replace", kConfig);
   CHECK_FALSE(call->refused.has_value());
   STRCMP_EQUAL("POST", call->asked.method.c_str());
@@ -127,7 +127,7 @@
   CHECK(change["config"] == renameConfig(Json::parse(kConfig), Way::kToOwn));
 }
 
-TEST(PlatformOperators, TheSameCallAgainIsTheSameChange) {
+TEST(PlatformOperators, RepeatedCallHasTheSameChangeId) {
   auto idOf = [this](const std::string& path, const std::string& body, const Headers& headers) {
     return Json::parse(ask(path, body, headers)->asked.body)["changeId"].get<std::string>();
   };
@@ -139,7 +139,7 @@
   CHECK(id != idOf("Config.Amend", kConfig, kOnFive));
 }
 
-TEST(PlatformOperators, NamedItemsAreAnAmendment) {
+TEST(PlatformOperators, AmendBecomesAnAmendment) {
   auto call = ask("Config.Amend",
                   R"({"edition":9,"upsert":{"routes":[{"name":"r1","tries":2}],
                       "senders":[{"name":"t1","access_keys":[]}]},
@@ -152,7 +152,7 @@
                         "remove":{"services":["s1"],"routes":["kind"]}})"));
 }
 
-TEST(PlatformOperators, NewWeightsAreAChangeOfOneModel) {
+TEST(PlatformOperators, WeightsVersionBecomesAChangeOfOneModel) {
   auto call = ask("version-put", R"({"model":"m1","edition":2,"more":1})", {});
   Json change = Json::parse(call->asked.body);
   CHECK(change["kind"] == "model-version");
@@ -164,7 +164,7 @@
     CHECK_EQUAL_TEXT(400, refused("version-put", body, {}), body);
 }
 
-TEST(PlatformOperators, WhatCannotBeReadIsRefused) {
+TEST(PlatformOperators, RejectsInvalidCalls) {
   for (auto body : {"", "[]", "null", "{\"edition\":7", "\"text\"", "{\"a\":\"\xff\"}"}) {
     CHECK_EQUAL_TEXT(400, refused("Config.Replace", body), body);
     CHECK_EQUAL_TEXT(400, refused("Config.Amend", body), body);
@@ -177,12 +177,12 @@
   CHECK_EQUAL(405, refused("Config.Read", "", {}, "POST"));
 }
 
-TEST(PlatformOperators, OtherPagesAreTheProductsOwn) {
+TEST(PlatformOperators, IgnoresOtherPaths) {
   for (auto path : {"/change", "/setup", "/", "", "/peppergate/Config", "/peppergate/ready"})
     CHECK_FALSE_TEXT(dialect.readOperator(ticket, "GET", path, {}, "").has_value(), path);
 }
 
-TEST(PlatformOperators, OutcomesAreToldAsStatuses) {
+TEST(PlatformOperators, MapsOutcomesToStatuses) {
   int kind = ask("Config.Replace", kConfig)->kind;
   for (auto [outcome, own, status] :
        {std::tuple{"done", 200, 200}, std::tuple{"stale", 409, 412},
@@ -195,14 +195,14 @@
     CHECK_EQUAL_TEXT(status, answer.status, outcome);
     CHECK_EQUAL_TEXT(status == 503, answer.headers.contains("Retry-After"), outcome);
   }
-  // Nobody takes an answer without an outcome for a yes.
+  // An answer without an outcome must not count as success.
   CHECK_EQUAL(503, dialect.operatorAnswer(kind, answerOf(200, "")).status);
   CHECK_EQUAL(503, dialect.operatorAnswer(kind, answerOf(200, "{")).status);
   CHECK_EQUAL(503, dialect.operatorAnswer(kind, answerOf(404, "{}")).status);
   CHECK_EQUAL(400, dialect.operatorAnswer(kind, answerOf(400, "")).status);
 }
 
-TEST(PlatformOperators, TheNewestConfigurationReadsBackAsItWasSent) {
+TEST(PlatformOperators, ReadReturnsTheConfigurationAsItWasSent) {
   auto call = ask("Config.Read?x=1", "", {}, "GET");
   STRCMP_EQUAL("GET", call->asked.method.c_str());
   STRCMP_EQUAL("/config", call->asked.path.c_str());
@@ -218,6 +218,6 @@
   CHECK_EQUAL(503, dialect.operatorAnswer(call->kind, answerOf(503, "{}")).status);
 }
 
-TEST(PlatformOperators, ReadinessIsAskedAtItsPath) {
+TEST(PlatformOperators, ReadinessHasThePlatformsPath) {
   STRCMP_EQUAL("/peppergate/ready", std::string(dialect.readyPath()).c_str());
 }
--- a/tests/platform_requests_test.cc
+++ b/tests/platform_requests_test.cc
@@ -1,4 +1,4 @@
-// Clients' requests and engines' answers in the platform's words.
+// Client requests and engine responses in the platform's format.
 #include "platform/dialect.h"
 #include "tests/testing.h"
 
@@ -33,7 +33,7 @@
   return attempt;
 }
 
-/// How often a line stands in a text.
+/// Counts the occurrences of a line in a text.
 int lines(const std::string& text, const std::string& line) {
   int count = 0;
   for (auto at = text.find("\r\n" + line + "\r\n"); at != std::string::npos;
@@ -91,7 +91,7 @@
   CHECK(event.wire == wire);
 }
 
-TEST(PlatformRequests, WhatIsNotThereIsNotTold) {
+TEST(PlatformRequests, MissingHeadersGiveNoValues) {
   RequestArrived event;
   CHECK_EQUAL(
       0,
@@ -104,7 +104,7 @@
   CHECK_FALSE(event.resumeAfter.has_value());
 }
 
-TEST(PlatformRequests, MalformedNumbersAreRefused) {
+TEST(PlatformRequests, RejectsMalformedAndDuplicateHeaders) {
   for (auto [name, value] :
        {std::pair{"X-Token-Count", "1460"}, std::pair{"X-Token-Count", "1,2,3"},
         std::pair{"X-Token-Count", "-1,2"}, std::pair{"X-Token-Count", ""},
@@ -119,7 +119,7 @@
     CHECK_EQUAL_TEXT(400, readStatus({{name, value}}), value);
 }
 
-TEST(PlatformRequests, WithoutAnIdItIsRefused) {
+TEST(PlatformRequests, RejectsARequestWithoutAnId) {
   RequestArrived event;
   auto wire = std::make_shared<WireRequest>();
   wire->method = "GET";
@@ -131,13 +131,13 @@
   CHECK_EQUAL(400, dialect.readRequest(wire, event));
 }
 
-TEST(PlatformRequests, AVeryLongTimeIsADay) {
+TEST(PlatformRequests, TimeLeftIsCappedAtADay) {
   RequestArrived event;
   CHECK_EQUAL(0, dialect.readRequest(wireWith({{"X-Time-Left-Ms", "99999999999999"}}), event));
   CHECK(event.timeLeft == seconds(86400));
 }
 
-TEST(PlatformRequests, AnEngineGetsTheSameRequest) {
+TEST(PlatformRequests, ForwardsTheRequestToTheEngine) {
   auto wire = wireWith({{"Accept", "text/event-stream"},
                         {"Content-Length", "7"},
                         {"X-Prompt-Prefix", "5c:800"},
@@ -155,7 +155,7 @@
   CHECK_EQUAL(1, lines(text, "X-Deliver-To: i-1"));
 }
 
-TEST(PlatformRequests, WhatTheClientSaysOfOurHeadersIsNotPassedOn) {
+TEST(PlatformRequests, DropsClientValuesOfRouterHeaders) {
   auto wire = wireWith({{"authorization", "Token k-1"},
                         {"X-Tenant", "other"},
                         {"x-tenant", "third"},
@@ -188,7 +188,7 @@
   CHECK_FALSE(has(text, "third"));
 }
 
-TEST(PlatformRequests, ConnectionHeadersEndHere) {
+TEST(PlatformRequests, DropsHopByHopHeaders) {
   auto wire = wireWith({{"Connection", "keep-alive, X-Hop,Host, x-attempt-id"},
                         {"X-Hop", "1"},
                         {"Keep-Alive", "timeout=3"},
@@ -210,7 +210,7 @@
   CHECK_EQUAL(1, lines(text, "X-Attempt-Id: a1"));
 }
 
-TEST(PlatformRequests, ARequestWithoutABodyGetsNoLengthUnlessItHadOne) {
+TEST(PlatformRequests, EmptyBodyHasALengthOnlyIfTheClientSentOne) {
   CHECK_FALSE(has(dialect.attemptText(attemptOf(wireWith({}))), "Content-Length"));
   CHECK_EQUAL(1, lines(dialect.attemptText(attemptOf(wireWith({{"Content-Length", "0"}}))),
                        "Content-Length: 0"));
@@ -218,7 +218,7 @@
                        "Content-Length: 0"));
 }
 
-TEST(PlatformRequests, NothingIsSmuggledInAHeader) {
+TEST(PlatformRequests, PreventsHeaderInjection) {
   auto wire = wireWith({{"X-One", "1\r\nX-Tenant: other"},
                         {"X-Two: c\r\nX-Tenant", "x"},
                         {"X Three", "y"},
@@ -232,7 +232,7 @@
   CHECK_EQUAL(400, dialect.readRequest(target, event));
 }
 
-TEST(PlatformRequests, ARefusalTellsWhenToComeBack) {
+TEST(PlatformRequests, RejectionHasRetryAfter) {
   RefuseRequest refusal;
   auto told = [&](Duration duration) {
     refusal.retryAfter = duration;
@@ -248,7 +248,7 @@
 
 TEST_GROUP(PlatformAnswers) { PlatformDialect dialect; };
 
-TEST(PlatformAnswers, AnotherRequestsAnswerIsNotTaken) {
+TEST(PlatformAnswers, IgnoresTheAnswerToAnotherRequest) {
   AttemptTurned turned;
   auto attempt = attemptOf(wireWith({}));
   for (HeaderList headers :
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(PlatformAnswers, ASuccessHasTheStampAndNoEncoding) {
+TEST(PlatformAnswers, SuccessNeedsAPostmarkAndNoEncoding) {
   CHECK(turnedBy(200, {{"x-postmark", "p"}}).success);
   CHECK(turnedBy(299, {{"X-Postmark", "p"}}).success);
   CHECK_FALSE(turnedBy(200, {}).success);
@@ -268,7 +268,7 @@
   CHECK_FALSE(turnedBy(200, {{"X-Postmark", "p"}, {"Content-Encoding", "gzip"}}).success);
 }
 
-TEST(PlatformAnswers, OnlyTheEngineItselfSaysThatItDidNotRun) {
+TEST(PlatformAnswers, NotRunNeedsAHeaderOrStatus421) {
   CHECK(turnedBy(503, {{"X-Not-Delivered", "1"}}).notRun);
   CHECK(turnedBy(400, {{"x-not-delivered", ""}}).notRun);
   CHECK(turnedBy(421, {}).notRun);
@@ -278,7 +278,7 @@
   CHECK_FALSE(turnedBy(200, {{"X-Not-Delivered", "1"}, {"X-Postmark", "p"}}).notRun);
 }
 
-TEST(PlatformAnswers, LoadVersionsAndTimesAreReadIfTheyCanBe) {
+TEST(PlatformAnswers, ReadsLoadVersionsAndRetryAfterIfValid) {
   auto turned = turnedBy(503, {{"X-Engine-Load", "3, 0,8"},
                                {"Retry-After", "0.25"},
                                {"Connection", "Close"},
@@ -299,7 +299,7 @@
   CHECK_FALSE(turnedBy(200, {{"Connection", "keep-alive"}}).leaving);
 }
 
-TEST(PlatformAnswers, EventsTellTheirIdsAndNewWeights) {
+TEST(PlatformAnswers, ReadsEventIdsAndWeightsVersions) {
   CHECK(dialect.readEvent("id: 7\ndata: x").id == std::uint64_t{7});
   CHECK(dialect.readEvent("id:8\r\ndata: x\r\n").id == std::uint64_t{8});
   CHECK_FALSE(dialect.readEvent("data: id: 7").id.has_value());
@@ -314,7 +314,7 @@
   CHECK_FALSE(dialect.readEvent("x-weight-versions: soon").newVersion.has_value());
 }
 
-TEST(PlatformAnswers, AClientGetsTheEnginesHeadersWithoutThoseOfTheConnection) {
+TEST(PlatformAnswers, ForwardsResponseHeadersExceptHopByHop) {
   STRCMP_EQUAL("Content-Type: text/event-stream\r\nX-Postmark: p\r\nX-Attempt-Id: a1\r\n",
                dialect
                    .answerHeaders(headOf(200, {{"Content-Type", "text/event-stream"},
--- a/tests/platform_settings_test.cc
+++ b/tests/platform_settings_test.cc
@@ -1,4 +1,4 @@
-// A settings file read, and the options that follow from it.
+// Parsing of the settings file, and the options derived from it.
 #include <cstdlib>
 #include <fstream>
 
@@ -66,7 +66,7 @@
 lag_ms = 800
 )";
 
-/// The text with one line's value replaced, or the line removed.
+/// The settings with one field's value replaced, or the field removed if the value is empty.
 std::string with(std::string_view name, std::string_view value) {
   std::string text(kFront);
   auto begin = text.find("\n" + std::string(name) + " = ") + 1;
@@ -87,7 +87,7 @@
 
 TEST_GROUP(PlatformSettings){};
 
-TEST(PlatformSettings, ReadsWhatAFrontIsTold) {
+TEST(PlatformSettings, ReadsAllFieldsOfARouter) {
   auto settings = readSettings(kFront);
   CHECK_TEXT(settings.ok(), messageOf(settings.status()).c_str());
   CHECK(settings->servesClients);
@@ -102,7 +102,7 @@
   DOUBLES_EQUAL(47.5, settings->listRate, 1e-9);
 }
 
-TEST(PlatformSettings, NamesTheMissingField) {
+TEST(PlatformSettings, ErrorNamesAMissingField) {
   for (auto name : {"ip_addr", "zone", "inner_ports", "seed_nodes", "first_start", "serves"})
     CHECK_TEXT(namesField(readSettings(with(name, "")).status(), name), name);
   CHECK(namesField(readSettings(with("front_desk", "")).status(), "listen.front_desk"));
@@ -111,7 +111,7 @@
   CHECK(namesField(readSettings(with("address", "")).status(), "cloud_api.address"));
 }
 
-TEST(PlatformSettings, NamesTheWrongField) {
+TEST(PlatformSettings, ErrorNamesAnInvalidField) {
   for (auto [name, value, field] :
        {std::tuple{"ip_addr", "\"10.9.0\"", "ip_addr"}, std::tuple{"ip_addr", "4", "ip_addr"},
         std::tuple{"inner_ports", "[7000]", "inner_ports"},
@@ -132,7 +132,7 @@
     CHECK_TEXT(namesField(readSettings(with(name, value)).status(), field), value);
 }
 
-TEST(PlatformSettings, AFigureOfAPartThatIsNotInForceMayBeMissing) {
+TEST(PlatformSettings, BoundOfARuleNotInForceMayBeMissing) {
   std::string text = with("in_force", "[\"base\"]");
   auto begin = text.find("retry_ratio");
   text.erase(begin, text.find('\n', begin) - begin);
@@ -141,17 +141,17 @@
   DOUBLES_EQUAL(Bounds{}.retryRatio, settings->bounds.retryRatio, 1e-9);
 }
 
-TEST(PlatformSettings, WhatIsNoTomlIsAnErrorWithItsLine) {
+TEST(PlatformSettings, InvalidTomlIsReportedWithItsLine) {
   auto settings = readSettings("zone = \"a\"\n= 3\n");
   CHECK_FALSE(settings.ok());
   CHECK(messageOf(settings.status()).find("line 2") != std::string::npos);
   for (std::size_t length = 0; length < kFront.size(); length += 7)
-    readSettings(kFront.substr(0, length)).IgnoreError();  // none of them ends the process
+    readSettings(kFront.substr(0, length)).IgnoreError();  // a truncated file must not crash
   CHECK_FALSE(readSettings("").ok());
   CHECK_FALSE(loadSettings("/nowhere/at/all").ok());
 }
 
-TEST(PlatformSettings, SeedsAreFoundAtTheirInnerPorts) {
+TEST(PlatformSettings, SeedAddressesUseTheInnerPort) {
   NodeSettings settings = frontSettings();
   NodeAddresses addresses = addressesOf(settings);
   STRCMP_EQUAL("10.9.0.4:7000", addresses.member.value.c_str());
@@ -167,7 +167,7 @@
 
 TEST_GROUP(PlatformOptions){};
 
-TEST(PlatformOptions, KeepTheBounds) {
+TEST(PlatformOptions, SatisfyTheBounds) {
   NodeSettings settings = frontSettings();
   auto options = optionsFrom(settings);
   CHECK_TEXT(options.ok(), messageOf(options.status()).c_str());
@@ -181,7 +181,7 @@
   CHECK(checkOptions(*options).ok());
 }
 
-TEST(PlatformOptions, MoreLossesToBearTakeMoreCopiesAndSeats) {
+TEST(PlatformOptions, HigherToleranceNeedsMoreBackupsAndVoterSlots) {
   NodeSettings settings = frontSettings();
   settings.tolerance.machines = 6;
   auto options = optionsFrom(settings);
@@ -190,7 +190,7 @@
   CHECK(options->voterSlots >= 13);
 }
 
-TEST(PlatformOptions, AShortApplyTimeMakesTheYesLater) {
+TEST(PlatformOptions, ShortApplyTimeDelaysTheAcknowledgement) {
   NodeSettings settings = frontSettings();
   settings.bounds.configApplies = seconds(0.9);
   auto options = optionsFrom(settings);
@@ -199,7 +199,7 @@
   CHECK(options->proofLimit <= options->acknowledgementWait + seconds(0.9));
 }
 
-TEST(PlatformOptions, WhereWithdrawalsNeedNotReachACutOffPartItServesLonger) {
+TEST(PlatformOptions, ProofsLastLongerIfPartitionsMayMissWithdrawals) {
   NodeSettings settings = frontSettings();
   settings.bounds.withdrawalsClosed = false;
   auto options = optionsFrom(settings);
@@ -207,7 +207,7 @@
   CHECK(options->proofLimit > Options{}.proofLimit);
 }
 
-TEST(PlatformOptions, ASetThatCannotHoldNamesBothFields) {
+TEST(PlatformOptions, ContradictionNamesBoundAndOption) {
   auto says = [](const NodeSettings& settings, std::string_view bound, std::string_view prop) {
     auto options = optionsFrom(settings);
     std::string message = messageOf(options.status());
--- a/tests/platform_words_test.cc
+++ b/tests/platform_words_test.cc
@@ -1,4 +1,4 @@
-// The product knows none of the platform's words.
+// Code under src/ must not contain names of the platform's interfaces.
 #include <algorithm>
 #include <cctype>
 #include <filesystem>
@@ -21,7 +21,7 @@
 
 bool wordLetter(char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_'; }
 
-/// Whether a word stands by itself in a text, both in lower case.
+/// Whether a text contains a word as a whole word; both must be in lower case.
 bool standsIn(const std::string& text, const std::string& word) {
   for (auto at = text.find(word); at != std::string::npos; at = text.find(word, at + 1)) {
     bool begins = at == 0 || !wordLetter(text[at - 1]) || !wordLetter(word.front());
@@ -43,7 +43,7 @@
 
 TEST_GROUP(PlatformWords){};
 
-TEST(PlatformWords, StandNowhereInTheProduct) {
+TEST(PlatformWords, DoNotOccurInSrc) {
   std::size_t files = 0;
   for (const auto& entry : std::filesystem::recursive_directory_iterator(SOURCE_FOLDER "/src")) {
     if (!entry.is_regular_file()) continue;
@@ -51,12 +51,12 @@
     std::string text = lower(textOf(entry.path()));
     for (auto word : platform::kOnlyHere)
       CHECK_FALSE_TEXT(standsIn(text, lower(word)),
-                       (entry.path().string() + " says " + std::string(word)).c_str());
+                       (entry.path().string() + " contains " + std::string(word)).c_str());
   }
   CHECK(files > 50);
 }
 
-TEST(PlatformWords, AreFoundWhereTheyStand) {
+TEST(PlatformWords, SearchFindsWholeWordsOnly) {
   CHECK(standsIn(lower("a[\"Berths\"] = 1"), "berths"));
   CHECK(standsIn(lower("{\"X-Attempt-Id\", id}"), lower("X-Attempt-Id")));
   CHECK_FALSE(standsIn("expedition", "edition"));
