--- a/src/config/fleet_reader.cc
+++ b/src/config/fleet_reader.cc
@@ -78,7 +78,7 @@
     else value = field->get<bool>();
   }
 
-  /// Calls `take` with the fields of each object in a list.
+  /// Calls a function with the fields of each object in a list.
   template <class Taker>
   void each(const char* name, Taker take) const {
     const Json* list = find(name);
@@ -91,7 +91,7 @@
     }
   }
 
-  /// Calls `take` with each string in a list and its path within this object.
+  /// Calls a function with each string in a list and its path within this object.
   template <class Taker>
   void eachText(const char* name, Taker take) const {
     const Json* list = find(name);
