--- a/src/history/assigned_versions.cc
+++ b/src/history/assigned_versions.cc
@@ -6,7 +6,7 @@
 namespace peppergate::history {
 namespace {
 
-/// One order with all its attempts.
+/// One change with all its attempts.
 struct Order {
   std::string id;
   std::optional<Version> base, version;
@@ -47,7 +47,7 @@
     if (call.outcome != Outcome::kDone) return;
     if (!call.proper) fail(ViolationKind::kImproperAcknowledged, call.order);
     if (order.version && *order.version != *call.version)
-      fail(ViolationKind::kTwoContents, "order " + call.order + " was given " +
+      fail(ViolationKind::kTwoContents, "change " + call.order + " was assigned " +
                                             versionText(*order.version) + " and " +
                                             versionText(*call.version));
     order.base = call.base;
@@ -61,7 +61,7 @@
       acknowledged_.push_back(order);
       if (order.lastRefusedStart > order.end)
         fail(ViolationKind::kRefusedRepeat,
-             "order " + id + " was refused after its acknowledgement");
+             "change " + id + " was refused after its acknowledgement");
     }
     std::ranges::sort(acknowledged_, {}, [](const Order& order) { return *order.version; });
   }
@@ -72,7 +72,7 @@
       const Order& other = acknowledged_[index];
       if (*one.version == *other.version)
         fail(ViolationKind::kTwoContents, "version " + versionText(*one.version) +
-                                              " was given to " + one.id + " and " + other.id);
+                                              " was assigned to " + one.id + " and " + other.id);
     }
   }
 
@@ -81,9 +81,9 @@
     for (const auto& order : acknowledged_) {
       latestStart = std::max(latestStart, order.start);
       if (order.end < latestStart)
-        fail(ViolationKind::kOrder, "order " + order.id + " ended with version " +
+        fail(ViolationKind::kOrder, "change " + order.id + " ended with version " +
                                         versionText(*order.version) +
-                                        " before one with a lower version began");
+                                        " before a change with a lower version began");
     }
   }
 
@@ -92,8 +92,8 @@
       const Order& order = acknowledged_[index];
       if (!order.base || *order.base >= *acknowledged_[index - 1].version) continue;
       fail(ViolationKind::kTwoOnOneBase,
-           "order " + order.id + " builds on " + versionText(*order.base) + ", after " +
-               versionText(*acknowledged_[index - 1].version) + " was made");
+           "change " + order.id + " is based on " + versionText(*order.base) + ", after " +
+               versionText(*acknowledged_[index - 1].version) + " was created");
     }
   }
 
@@ -107,7 +107,7 @@
       }
       if (*order.version == *read.version && order.start > read.end)
         fail(ViolationKind::kUnknownContents,
-             "version " + versionText(*read.version) + " was read before it was asked for");
+             "version " + versionText(*read.version) + " was read before its change was requested");
     }
   }
 
--- a/src/history/assigned_versions.h
+++ b/src/history/assigned_versions.h
@@ -1,10 +1,10 @@
 #pragma once
-// Order of the changes of a register whose versions the system assigns.
+// Linearizability of a register whose versions the system assigns.
 //
-// Each acknowledged change names the version that it was given. The changes in the order of their
-// versions have to fit the times of their calls, each version belongs to one order, an order keeps
-// its version when it is acknowledged again, and a change that named a base follows it directly
-// among those that were acknowledged. Changes without a clear answer constrain nothing here.
+// Each acknowledged change has the version that it was assigned. The order of the versions must fit
+// the times of the calls; each version belongs to one change; a change keeps its version when it is
+// acknowledged again; and a change that names a base directly follows that base among the
+// acknowledged changes. Changes of unknown outcome are not constrained.
 #include <vector>
 
 #include "history/history.h"
--- a/src/history/chain_orders.cc
+++ b/src/history/chain_orders.cc
@@ -34,7 +34,8 @@
     if (!proper) {
       improper_.insert(contents);
       if (call.outcome == Outcome::kDone)
-        fail(ViolationKind::kImproperAcknowledged, "order " + call.order + " is invalid");
+        fail(ViolationKind::kImproperAcknowledged,
+             "change " + call.order + " is invalid but was acknowledged");
       return;
     }
     if (call.outcome == Outcome::kRefused) {
@@ -75,12 +76,13 @@
   void failRead(const Contents& contents) {
     const std::string version = "version " + versionText(contents.version);
     if (refused_.contains(contents))
-      fail(ViolationKind::kRefusedContents, version + " was read, and refused at each attempt");
+      fail(ViolationKind::kRefusedContents,
+           version + " was read although every attempt was refused");
     else if (improper_.contains(contents))
-      fail(ViolationKind::kImproperAcknowledged, version + " was read, and is invalid");
+      fail(ViolationKind::kImproperAcknowledged, version + " was read although it is invalid");
     else if (numberWasSent(contents.version))
-      fail(ViolationKind::kTwoContents, version + " was read with other contents than were sent");
-    else fail(ViolationKind::kUnknownContents, version + " was read, and nobody sent it");
+      fail(ViolationKind::kTwoContents, version + " was read with contents that were not sent");
+    else fail(ViolationKind::kUnknownContents, version + " was read but no operator sent it");
   }
 
   bool numberWasSent(const Version& version) const {
@@ -126,7 +128,7 @@
       if (!firstOn && onOneBase(*base->second, candidate))
         fail(ViolationKind::kTwoOnOneBase,
              "versions " + versionText(base->second->contents.version) + " and " +
-                 versionText(candidate.contents.version) + " were both taken on " +
+                 versionText(candidate.contents.version) + " both took effect on " +
                  versionText(candidate.links[0].base));
     }
   }
@@ -157,10 +159,11 @@
         taken != nullptr &&
         std::ranges::find(taken->links, refusal.base, &ChainLink::base) != taken->links.end();
     if (sameBase && taken->needed && taken->latest < refusal.start)
-      fail(ViolationKind::kRefusedRepeat, "order " + refusal.order + " was taken, then refused");
+      fail(ViolationKind::kRefusedRepeat,
+           "change " + refusal.order + " took effect and was refused later");
     else if (baseWasInForce(refusal) && !othersMayFollow(refusal))
       fail(ViolationKind::kRefusedOnNewest,
-           "order " + refusal.order + " builds on the newest version and was refused");
+           "change " + refusal.order + " was refused although it is based on the newest version");
   }
 
   void explainRead(const OperatorCall& read) {
@@ -168,8 +171,8 @@
       const bool newer = candidate.contents.version > *read.version;
       if (!newer || !candidate.needed || candidate.latest >= read.start) continue;
       fail(read.final ? ViolationKind::kLostChange : ViolationKind::kStaleRead,
-           "version " + versionText(*read.version) + " was read when " +
-               versionText(candidate.contents.version) + " was known");
+           "version " + versionText(*read.version) + " was read after " +
+               versionText(candidate.contents.version) + " was acknowledged or read");
       return;
     }
   }
--- a/src/history/chain_orders.h
+++ b/src/history/chain_orders.h
@@ -1,5 +1,6 @@
 #pragma once
-// The calls of one register with chosen versions, grouped for the search and for its explanations.
+// The calls of one register whose versions the operators choose, grouped by contents for the search
+// and for explaining its result.
 #include <string>
 #include <vector>
 
@@ -8,24 +9,24 @@
 
 namespace peppergate::history {
 
-/// One way into a candidate: an order that makes it on one base.
+/// One way to reach a candidate: a change that creates it on one base.
 struct ChainLink {
   Version base;
-  Microseconds earliest = kNoEnd;  // start of its first attempt that was not refused
+  Microseconds earliest = kNoEnd;  // start of the first attempt that was not refused
   std::string order;
 };
 
 /// Contents that may have been in force.
 struct Candidate {
   Contents contents;
-  std::vector<ChainLink> links;       // none for the register before its first change
-  Microseconds latest = kNoEnd;       // it was in force by then: acknowledged or read
-  Microseconds readFrom = INT64_MIN;  // the latest start of a read that returned it
-  bool needed = false;                // it was acknowledged or read
+  std::vector<ChainLink> links;       // empty for the register before its first change
+  Microseconds latest = kNoEnd;       // it was in force by this time: acknowledged or read
+  Microseconds readFrom = INT64_MIN;  // latest start of a read that returned it
+  bool needed = false;                // it was acknowledged or read, so it must be in the chain
   bool acknowledged = false;
 };
 
-/// One attempt of a valid change that was declined for good.
+/// One attempt of a valid change that was finally refused.
 struct Refusal {
   Contents contents;
   Version base;
@@ -34,18 +35,19 @@
   std::string order;
 };
 
-/// All that the answers say about a register.
+/// Everything that the answers say about one register.
 struct ChainOrders {
-  std::vector<Candidate> candidates;  // by version; the first is the register before any change
+  std::vector<Candidate>
+      candidates;  // by version; the first stands for the register before any change
   std::vector<Refusal> refusals;
-  std::vector<OperatorCall> reads;  // those that were answered
-  Verdict impossible;               // answers that no order of the calls explains
+  std::vector<OperatorCall> reads;  // the answered reads
+  Verdict impossible;               // answers that no order of the calls can explain
 };
 
 /// Groups the calls of one register.
 ChainOrders collectChainOrders(const std::vector<OperatorCall>& calls);
 
-/// Plain causes for which these calls have no order; for the report when the search found none.
+/// Specific causes why these calls have no linear order; for the report when the search finds none.
 Verdict explainChain(const ChainOrders& orders);
 
 }  // namespace peppergate::history
--- a/src/history/check_history.h
+++ b/src/history/check_history.h
@@ -1,5 +1,5 @@
 #pragma once
-// Decides whether a history of operators' calls is linearizable, register by register.
+// Checks whether a history of operators' calls is linearizable, register by register.
 #include <vector>
 
 #include "history/history.h"
@@ -7,7 +7,7 @@
 
 namespace peppergate::history {
 
-/// Checks all registers of a history. Registers don't share state, so each is decided alone.
+/// Checks all registers of a history. Registers share no state, so each is checked on its own.
 Verdict checkHistory(const std::vector<OperatorCall>& calls);
 
 }  // namespace peppergate::history
--- a/src/history/history.cc
+++ b/src/history/history.cc
@@ -24,7 +24,7 @@
                                OutcomeRow{"refused", Outcome::kRefused},
                                OutcomeRow{"unknown", Outcome::kUnknown}};
 
-/// Thrown inside this file only; `readHistory` turns it into a ReadError.
+/// Thrown within this file only; `readHistory` converts it to a ReadError.
 struct FieldError {
   std::string field;
   std::string detail;
@@ -36,7 +36,7 @@
     if (needed) throw FieldError{field, "is missing"};
     return {};
   }
-  if (!found->is_string()) throw FieldError{field, "must be a text"};
+  if (!found->is_string()) throw FieldError{field, "must be a string"};
   return found->get<std::string>();
 }
 
@@ -50,7 +50,8 @@
 std::optional<Microseconds> timeField(const Json& object, const char* field) {
   auto found = object.find(field);
   if (found == object.end() || found->is_null()) return std::nullopt;
-  if (!found->is_number_integer()) throw FieldError{field, "must be whole microseconds"};
+  if (!found->is_number_integer())
+    throw FieldError{field, "must be an integer number of microseconds"};
   return found->get<Microseconds>();
 }
 
@@ -60,7 +61,7 @@
   if (found->is_number_unsigned()) return Version{0, found->get<std::uint64_t>()};
   if (found->is_string())
     if (auto version = parseVersion(found->get_ref<const std::string&>())) return version;
-  throw FieldError{field, "must be a whole number, or EPOCH.NUMBER as a text"};
+  throw FieldError{field, "must be an unsigned integer or a string EPOCH.NUMBER"};
 }
 
 CallKind kindField(const Json& object) {
@@ -78,20 +79,20 @@
 }
 
 void checkChange(const OperatorCall& call) {
-  if (call.order.empty()) throw FieldError{"order", "a change needs one"};
+  if (call.order.empty()) throw FieldError{"order", "is required for a change"};
   if (call.assigned) {
     if (call.outcome == Outcome::kDone && !call.version)
-      throw FieldError{"version", "an acknowledged change needs the one it was given"};
+      throw FieldError{"version", "is required for an acknowledged change"};
     return;
   }
-  if (!call.base) throw FieldError{"base", "a change with a version of its own needs one"};
-  if (!call.version) throw FieldError{"version", "a change needs one, unless it is assigned"};
+  if (!call.base) throw FieldError{"base", "is required unless the version is assigned"};
+  if (!call.version) throw FieldError{"version", "is required unless it is assigned"};
 }
 
 void checkRead(const OperatorCall& call) {
-  if (call.outcome == Outcome::kRefused) throw FieldError{"outcome", "a read is never refused"};
+  if (call.outcome == Outcome::kRefused) throw FieldError{"outcome", "a read cannot be refused"};
   if (call.outcome == Outcome::kDone && !call.version)
-    throw FieldError{"version", "an answered read needs one"};
+    throw FieldError{"version", "is required for an answered read"};
 }
 
 OperatorCall readCall(const Json& object) {
@@ -107,9 +108,9 @@
   call.start = *start;
   auto end = timeField(object, "end");
   if (!end && call.outcome != Outcome::kUnknown)
-    throw FieldError{"end", "an answered call needs one"};
+    throw FieldError{"end", "is required for an answered call"};
   if (end && *end < call.start) throw FieldError{"end", "is before the start"};
-  // What happened to a call without a clear answer may still happen after its caller gave up.
+  // A call of unknown outcome may still take effect after its caller gave up, so it has no end.
   if (end && call.outcome != Outcome::kUnknown) call.end = *end;
   call.base = versionField(object, "base");
   call.version = versionField(object, "version");
@@ -161,7 +162,7 @@
     text.remove_prefix(length == std::string_view::npos ? text.size() : length + 1);
     if (content.find_first_not_of(" \t\r") == std::string_view::npos) continue;
     const Json object = Json::parse(content, nullptr, false);
-    if (!object.is_object()) return ReadError{line, "<root>", "is no JSON object"};
+    if (!object.is_object()) return ReadError{line, "<root>", "is not a JSON object"};
     try {
       calls.push_back(readCall(object));
     } catch (const FieldError& wrong) {
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -1,6 +1,6 @@
 #pragma once
-// The history of operators' calls: what each call asked for, when, and what its caller was told.
-// A history holds only what callers saw; nothing in it comes from inside a daemon.
+// The history of operators' calls: the request of each call, its time and its answer. A history
+// holds only what callers observed, and nothing from inside a daemon.
 #include <compare>
 #include <cstdint>
 #include <optional>
@@ -11,12 +11,12 @@
 
 namespace peppergate::history {
 
-/// Microseconds on the one clock that all calls of a history were timed by.
+/// Microseconds on the single clock that timed all calls of a history.
 using Microseconds = std::int64_t;
-/// The end of a call that has none yet.
+/// The end of a call that has not ended.
 inline constexpr Microseconds kNoEnd = INT64_MAX;
 
-/// The version of a register's contents. A number that the operator chose has epoch 0; {0, 0} is
+/// The version of a register's contents. A version that the operator chose has epoch 0; {0, 0} is
 /// the register before its first change.
 struct Version {
   std::uint64_t epoch = 0;
@@ -24,7 +24,7 @@
   auto operator<=>(const Version&) const = default;
 };
 
-/// Contents as callers can tell them apart: two with one version and different digests differ.
+/// Contents as callers can distinguish them: by version, and by digest for the same version.
 struct Contents {
   Version version;
   std::string digest;
@@ -35,45 +35,46 @@
 
 enum class Outcome : std::uint8_t {
   kDone,     // a change was acknowledged, or a read was answered
-  kRefused,  // a change was declined for good
-  kUnknown,  // no answer, or one that promises nothing
+  kRefused,  // a change was finally refused
+  kUnknown,  // no answer, or one that leaves the outcome open
 };
 
-/// One call of one operator at one machine. An order that is sent again is a call of its own with
-/// the same order id.
+/// One call of one operator to one machine. A change that is sent again is a separate call with the
+/// same id in `order`.
 struct OperatorCall {
-  std::string registerName;  // registers are independent of one another
+  std::string registerName;  // registers are independent of each other
   std::string operatorName;
-  std::string machine;  // where it was sent
-  std::string order;    // of a change: the same for each attempt
+  std::string machine;  // that it was sent to
+  std::string order;    // id of a change, the same for every attempt
   CallKind kind = CallKind::kChange;
   Outcome outcome = Outcome::kUnknown;
   Microseconds start = 0;
-  Microseconds end = kNoEnd;       // kNoEnd unless the outcome is known
-  std::optional<Version> base;     // of a change: the version that it builds on; none: on any
-  std::optional<Version> version;  // of a change: what it makes; of a read: what was returned
-  std::string digest;              // of the contents after a change, or as read
-  bool assigned = false;           // the system gives the version; known once it is acknowledged
-  bool proper = true;              // a valid change; one that is not has to be refused
-  bool final = false;              // the end state of the day, read back
+  Microseconds end = kNoEnd;       // kNoEnd if the outcome is unknown
+  std::optional<Version> base;     // of a change: the version it is based on; none: any
+  std::optional<Version> version;  // of a change: the one it creates; of a read: as returned
+  std::string digest;              // of the contents that a change creates or a read returned
+  bool assigned = false;           // the system assigns the version; known from the acknowledgement
+  bool proper = true;              // a valid change; an invalid one must be refused
+  bool final = false;              // a read of the final state at the end of the run
 };
 
-/// Why a line of a history cannot be read. The field is "<root>" when the line is no JSON object.
+/// Why a line of a history cannot be parsed. The field is "<root>" if the line is not a JSON
+/// object.
 struct ReadError {
-  std::size_t line = 0;  // the first is 1
+  std::size_t line = 0;  // starting at 1
   std::string field;
   std::string detail;
 };
 
 using ReadResult = std::variant<std::vector<OperatorCall>, ReadError>;
 
-/// Reads a history: one JSON object a line, empty lines are skipped.
+/// Parses a history: one JSON object per line; empty lines are skipped.
 ReadResult readHistory(std::string_view text);
-/// Writes one call as a line of JSON without its end of line.
+/// Writes one call as a line of JSON, without the line break.
 std::string writeCall(const OperatorCall& call);
-/// Writes a version as histories hold it: "7", or "3.12" with an epoch.
+/// Writes a version in the format of histories: "7", or "3.12" with an epoch.
 std::string versionText(const Version& version);
-/// Reads what `versionText` wrote; nothing if it is no version.
+/// Parses the output of `versionText`; nullopt if the text is not a version.
 std::optional<Version> parseVersion(std::string_view text);
 
 }  // namespace peppergate::history
--- a/src/history/history_recorder.h
+++ b/src/history/history_recorder.h
@@ -1,5 +1,5 @@
 #pragma once
-// Collects a history while simulated operators make their calls.
+// Records a history while simulated operators make their calls.
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
@@ -8,21 +8,22 @@
 
 namespace peppergate::history {
 
-/// The place of a call in its recorder.
+/// The index of a call in its recorder.
 struct CallNumber {
   std::size_t value = 0;
 };
 
-/// Owns the calls of one run. A call that never ends stays one of unknown outcome.
+/// Owns the calls of one run. A call that never ends keeps an unknown outcome.
 class HistoryRecorder {
  public:
-  /// Notes a call as it is sent; its outcome is unknown until `end` tells it.
+  /// Records a call when it is sent; its outcome is unknown until one of the `end` functions sets
+  /// it.
   CallNumber begin(OperatorCall call);
-  /// Notes a clear answer to a change.
+  /// Records the outcome of a change that was acknowledged or refused.
   void end(CallNumber number, Outcome outcome, Microseconds at);
-  /// Notes an acknowledgement that names the version which the system gave.
+  /// Records an acknowledgement that names the version which the system assigned.
   void endAssigned(CallNumber number, const Version& version, Microseconds at);
-  /// Notes what a read returned.
+  /// Records what a read returned.
   void endRead(CallNumber number, const Contents& contents, Microseconds at);
   const std::vector<OperatorCall>& calls() const { return calls_; }
   /// All calls as JSON lines, for `peppergate check-history`.
@@ -34,8 +35,8 @@
   std::vector<OperatorCall> calls_;
 };
 
-/// Names a configuration's contents: equal for two that differ only in the order of named items
-/// in its top-level lists, or in the order of their fields.
+/// A digest of a configuration, independent of the order of named items in its top-level lists and
+/// of the order of fields.
 std::string contentsDigest(nlohmann::json configuration);
 
 }  // namespace peppergate::history
--- a/src/history/verdict.h
+++ b/src/history/verdict.h
@@ -1,5 +1,5 @@
 #pragma once
-// What the history checkers find.
+// The findings of the history checkers.
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -7,22 +7,22 @@
 
 namespace peppergate::history {
 
-/// Why a history is not linearizable. All but the last name a cause that is plain by itself.
+/// Why a history is not linearizable. All kinds but the last name a specific cause.
 enum class ViolationKind : std::uint8_t {
-  kUnknownContents,       // a read returned contents that nobody sent
-  kTwoContents,           // one version was confirmed or read with two contents
-  kTwoOnOneBase,          // two changes of one base were both confirmed
+  kUnknownContents,       // a read returned contents that no operator sent
+  kTwoContents,           // one version was acknowledged or read with two contents
+  kTwoOnOneBase,          // two changes on one base were both acknowledged
   kImproperAcknowledged,  // an invalid change was acknowledged or read back
-  kRefusedContents,       // a change that was refused at each attempt was read back
-  kRefusedRepeat,         // an order was refused after it had been acknowledged or read back
+  kRefusedContents,       // a change that was refused on every attempt was read back
+  kRefusedRepeat,         // a change was refused after it had been acknowledged or read back
   kRefusedOnNewest,       // a valid change on the newest version was refused
-  kStaleRead,             // a read returned less than was known before it began
+  kStaleRead,             // a read returned an older version than was known before it began
   kLostChange,            // the end state lacks an acknowledged change
-  kOrder,                 // versions were given against the order in which the calls ended
+  kOrder,                 // assigned versions contradict the order of the calls in time
   kNotLinearizable,       // no order of the calls explains all answers
 };
 
-/// The name of a kind as reports print it, such as "stale-read".
+/// The name of a kind in reports, such as "stale-read".
 std::string_view kindName(ViolationKind kind);
 
 struct Violation {
--- a/src/history/version_chain.cc
+++ b/src/history/version_chain.cc
@@ -10,7 +10,7 @@
 namespace peppergate::history {
 namespace {
 
-/// Looks for a chain of candidates with a point in time for each.
+/// Searches for a chain of candidates, with a point in time for each.
 class ChainSearch {
  public:
   explicit ChainSearch(const ChainOrders& orders) : orders_(orders) {
@@ -23,7 +23,7 @@
   }
 
   bool found() { return extend(0, INT64_MIN); }
-  /// The highest version that a chain reached, for the report.
+  /// The highest version that any chain reached, for the report.
   const Version& deepest() const { return deepest_; }
 
  private:
@@ -36,34 +36,36 @@
     return orders_.candidates[index].contents.version;
   }
 
-  /// The first candidate beyond a version that has to be in the chain; the end if there is none.
+  /// The first candidate above a version that must be in the chain; the end iterator if none.
   std::vector<std::size_t>::const_iterator neededAfter(const Version& version) const {
     return std::ranges::upper_bound(needed_, version, {},
                                     [this](std::size_t index) { return versionOf(index); });
   }
 
-  /// Whether a step leaves out nothing that has to be in the chain.
+  /// Whether a step skips no candidate that must be in the chain.
   bool leavesNoneOut(std::size_t from, std::size_t to) const {
     auto first = neededAfter(versionOf(from));
     if (first == needed_.end() || versionOf(*first) > versionOf(to)) return true;
     if (*first != to) return false;
-    auto second = std::next(first);  // two of one version can't both be in a chain
+    auto second = std::next(first);  // two with the same version can't be in one chain
     return second == needed_.end() || versionOf(*second) > versionOf(to);
   }
 
-  /// Whether the refusals on this base fit a chain that goes on, or ends, after it.
+  /// Whether the refusals on this base are consistent with a chain that continues with `next`, or
+  /// ends here if `next` is null.
   bool refusalsFit(std::size_t current, Microseconds since, const Candidate* next,
                    Microseconds until) const {
     auto found = refusals_.find(versionOf(current));
     if (found == refusals_.end()) return true;
     return std::ranges::all_of(found->second, [&](const Refusal* refusal) {
-      if (refusal->start <= since) return true;  // its base was not the newest yet
+      if (refusal->start <= since) return true;  // its base was not yet the newest version
       if (next == nullptr || refusal->contents == next->contents) return false;
       return until <= refusal->end;
     });
   }
 
-  /// The times worth trying for a candidate: the earliest, and those that excuse refusals on it.
+  /// The times to try for a candidate: the earliest one, and the starts of refused attempts on it,
+  /// because a refusal that starts no later than its base takes effect is consistent.
   std::vector<Microseconds> timesFor(const Candidate& candidate, Microseconds earliest) const {
     std::vector<Microseconds> times{earliest};
     if (auto found = refusals_.find(candidate.contents.version); found != refusals_.end())
@@ -118,7 +120,7 @@
   if (causes.empty())
     causes.push_back({ViolationKind::kNotLinearizable,
                       {},
-                      "no chain explains all answers; the longest ends at version " +
+                      "no chain explains all answers; the longest one ends at version " +
                           versionText(search.deepest())});
   return causes;
 }
--- a/src/model/action.cc
+++ b/src/model/action.cc
@@ -37,7 +37,8 @@
   const char* end = number.data() + number.size();
   auto [stop, fault] = std::from_chars(number.data(), end, action.target);
   if (fault != std::errc{} || stop != end || action.target < 0)
-    return absl::InvalidArgumentError("'" + std::string(number) + "' is no target of an action");
+    return absl::InvalidArgumentError("'" + std::string(number) +
+                                      "' is not a valid target of an action");
   return action;
 }
 
--- a/src/model/message_names.h
+++ b/src/model/message_names.h
@@ -1,12 +1,12 @@
 #pragma once
-/// Names of the messages between machines, as schedules' traces show them.
+/// Names of the messages between machines, for the traces of schedules.
 #include <string>
 
 #include "core/messages.h"
 
 namespace peppergate::model {
 
-/// A message's name with the numbers that tell it from others of its kind.
+/// A message's name, with the numbers that distinguish it from others of its type.
 std::string messageText(const Message& message);
 
 }  // namespace peppergate::model
--- a/src/model/model_choices.cc
+++ b/src/model/model_choices.cc
@@ -1,6 +1,6 @@
-// Where a schedule may depart from the default order, and what happens then. A machine's stop, cut
-// or start is offered only before an event at this machine and where nothing is under way: at other
-// places it commutes with what comes next.
+// The possible departures from the default order at a choice point, and their execution. Stopping,
+// partitioning or starting a machine is offered only before an event at this machine and where
+// nothing is pending: elsewhere it commutes with the next event.
 #include <algorithm>
 
 #include "model/model_world.h"
@@ -167,7 +167,7 @@
       answer(item, true);
       break;
     default:
-      break;  // dropped
+      break;  // kDrop: the message is discarded
   }
 }
 
--- a/src/model/model_options.cc
+++ b/src/model/model_options.cc
@@ -29,7 +29,7 @@
   limits.fill(2);
   auto limit = [&](ActionKind kind) -> int& { return limits.at(static_cast<std::size_t>(kind)); };
   limit(ActionKind::kContinue) = 1'000'000;
-  limit(ActionKind::kRelease) = 1'000'000;  // as many as were kept back
+  limit(ActionKind::kRelease) = 1'000'000;  // as often as messages are held
   limit(ActionKind::kFailSync) = 1;
   limit(ActionKind::kStallDisk) = 1;
   return limits;
@@ -37,19 +37,21 @@
 
 absl::Status checkOptions(const ModelOptions& options) {
   if (options.machines < kFewestMachines || options.machines > kMostMachines)
-    return absl::InvalidArgumentError("machines: 3 to 9 can be modelled");
+    return absl::InvalidArgumentError("machines: must be 3 to 9");
   int voters = options.voters == 0 ? options.machines : options.voters;
   if (voters < kFewestMachines || voters > options.machines)
-    return absl::InvalidArgumentError("voters: 3 to the number of machines, or 0 for one each");
+    return absl::InvalidArgumentError(
+        "voters: must be 3 to the number of machines, or 0 for one each");
   if (options.tolerate < 1 || 2 * options.tolerate + 1 > voters)
-    return absl::InvalidArgumentError("tolerate: at least 1, and 2 * tolerate + 1 <= voters");
+    return absl::InvalidArgumentError(
+        "tolerate: must be at least 1, with 2 * tolerate + 1 <= voters");
   if (options.orders < 1 || options.orders > kMostOrders)
-    return absl::InvalidArgumentError("orders: 1 to 8 can be modelled");
+    return absl::InvalidArgumentError("orders: must be 1 to 8");
   if (options.tick < milliseconds(10) || options.tick > milliseconds(300))
     return absl::InvalidArgumentError(
-        "tick: 10 to 300 ms; longer ones count as a leap of the clock");
+        "tick: must be 10 to 300 ms; a longer one counts as a clock leap");
   if (options.horizon < options.tick || options.horizon > seconds(600))
-    return absl::InvalidArgumentError("horizon: one tick to 600 s");
+    return absl::InvalidArgumentError("horizon: must be one tick to 600 s");
   for (std::size_t kind = 0; kind < kActionKinds; ++kind)
     if (options.limits.at(kind) < 0)
       return absl::InvalidArgumentError("limit of " +
--- a/src/model/model_steps.cc
+++ b/src/model/model_steps.cc
@@ -1,4 +1,5 @@
-// The default order: what isn't delayed first, by target and source; then calls; then time.
+// The default order: pending items by target and source, delayed ones last; then operators' calls;
+// then time.
 #include <algorithm>
 #include <tuple>
 
@@ -13,7 +14,7 @@
 constexpr std::uint64_t kUnsyncedDigest = 0xfa;
 constexpr std::uint64_t kCallDigest = 0xca11;
 constexpr Duration kCallTime = milliseconds(1);
-constexpr int kAnswersAfter = 1000;  // answers come after everything for machines
+constexpr int kAnswersAfter = 1000;  // sorts answers after all items for machines
 
 auto orderOf(const UnderWay& item) {
   bool write = item.kind == UnderWay::Kind::kWrite;
@@ -68,7 +69,7 @@
 }
 
 bool ModelWorld::isIdleQuestion(const UnderWay& item) const {
-  // A freshness question matters where an operator waits at the machine that asks.
+  // A freshness check matters only while an operator waits at the machine that sends it.
   if (std::holds_alternative<StateRequest>(*item.message)) return !reads(item.source);
   if (std::holds_alternative<StateReply>(*item.message)) return !reads(item.target);
   return std::holds_alternative<ReadLeaseRequest>(*item.message) ||
@@ -80,7 +81,7 @@
   if (options_.granularity == Granularity::kCoarse) return true;
   if (item.kind != UnderWay::Kind::kMessage) return false;
   const auto& target = machines_.at(static_cast<std::size_t>(item.target));
-  if (!target.node || !connected(item.source, item.target)) return true;  // it is lost
+  if (!target.node || !connected(item.source, item.target)) return true;  // the message is lost
   if (std::holds_alternative<Shuffle>(*item.message)) return true;
   if (options_.granularity == Granularity::kFull) return false;
   if (item.source == item.target) return true;
@@ -152,9 +153,9 @@
 }
 
 void ModelWorld::call(int who) {
-  now_ = now_ + kCallTime;  // a call comes after all that was known before it was made
+  now_ = now_ + kCallTime;  // a call is later than everything known before it
   Operator& each = operators_.at(static_cast<std::size_t>(who));
-  TicketId ticket{(++lastTicket_ << 20U) + 7};  // apart from the machines' own tickets
+  TicketId ticket{(++lastTicket_ << 20U) + 7};  // distinct from the machines' own tickets
   int index = each.machine(static_cast<int>(machines_.size()));
   OperatorCall made = each.call(ticket, now_, judge_);
   bool reading = made.kind == CallKind::kRead;
@@ -191,7 +192,7 @@
     for (auto& write : std::exchange(machine.stalledWrites, {})) enqueue(std::move(write));
     bool suspect = machine.node &&
                    (machine.node->leadership().isSuspect() || !machine.node->acceptor().votes());
-    if (suspect) stopMachine(static_cast<int>(index), false);  // it has to be started anew
+    if (suspect) stopMachine(static_cast<int>(index), false);  // it only recovers by a restart
     if (!machine.node && !machine.removed) startMachine(static_cast<int>(index), false);
   }
   held_.clear();
--- a/src/model/model_world.cc
+++ b/src/model/model_world.cc
@@ -7,7 +7,7 @@
 namespace peppergate::model {
 namespace {
 
-constexpr Duration kClockOffset = seconds(1000);  // between two machines' own clocks
+constexpr Duration kClockOffset = seconds(1000);  // between the clocks of neighbouring machines
 constexpr MonotonicTime kStart{1'000'000'000};
 constexpr Duration kSettleWithin = seconds(60);
 constexpr std::size_t kFounders = 3;
@@ -134,7 +134,7 @@
   };
   std::ranges::for_each(std::exchange(machine.stalledWrites, {}), end);
   std::ranges::for_each(underWay_, end);
-  // Its connections break: what is on its way to it or to its operators is lost.
+  // Its connections break: messages to it and its answers to operators are lost.
   std::erase_if(underWay_, [&](const UnderWay& item) {
     if (item.kind == UnderWay::Kind::kAnswer) return item.source == index;
     return item.target == index;
@@ -149,7 +149,7 @@
     return now_ - std::max(when, calmSince_) < options_.catchUp;
   };
   int lost = static_cast<int>(std::ranges::count_if(losses_, recent));
-  // The first that joined is the successor of the first that went, in whatever order they came.
+  // The first machine to join is the successor of the first that left, whichever came first.
   for (int index = 0; index < removals_; ++index) {
     auto position = static_cast<std::size_t>(index);
     if (position >= joins_.size() || recent(joins_[position])) ++lost;
@@ -273,9 +273,9 @@
   note("machine " + std::to_string(index + 1) + " has left" + (handedOver ? "" : ", unreplaced"));
   stopMachine(index, false);
   if (!handedOver && lostMachines() >= options_.tolerate) {
-    // No more machines are removed than may be lost: it is started again, as one that was killed.
+    // Removing it would exceed the tolerated losses, so it is restarted like a killed machine.
     startMachine(index, false);
-    calmSince_ = now_;  // it was down, and counts as lost for the catch-up time
+    calmSince_ = now_;  // after the downtime it counts as lost for the catch-up time
     return;
   }
   machine.removed = true;
--- a/src/model/model_world.h
+++ b/src/model/model_world.h
@@ -1,6 +1,6 @@
 #pragma once
-/// A fleet of real control machines with modelled disks, messages, operators and time. A copy
-/// shares machines with its original until either steps them, so that a search can branch.
+/// A fleet that runs the real control code on modelled disks, messages, operators and time. A copy
+/// shares its nodes with the original until either steps them, so that a search can branch cheaply.
 #include <absl/status/statusor.h>
 
 #include <array>
@@ -16,65 +16,65 @@
 
 namespace peppergate::model {
 
-/// Something under way: a message, a write, or an answer to an operator.
+/// A pending event: a message, a disk write, or an answer to an operator.
 struct UnderWay {
   enum class Kind : std::uint8_t { kWrite, kMessage, kAnswer };
   Kind kind = Kind::kMessage;
-  int target = 0;  ///< a machine, or an operator for answers
-  int source = 0;  ///< a machine
+  int target = 0;  ///< the machine that it goes to, or the operator for an answer
+  int source = 0;  ///< the machine that it comes from
   bool delayed = false;
-  std::uint64_t order = 0;   ///< within its channel
-  std::uint64_t digest = 0;  ///< of its origin and content
+  std::uint64_t order = 0;   ///< sequence number: keeps each channel first in, first out
+  std::uint64_t digest = 0;  ///< hash of its origin and content
   std::shared_ptr<const Message> message;
   std::shared_ptr<const WriteFile> write;
   std::shared_ptr<const AnswerWeb> answer;
 };
 
-/// One machine: its disk outlasts its processes.
+/// One machine; its disk persists across restarts of its process.
 struct ModelMachine {
   Address address;
-  std::shared_ptr<CoreNode> node;  ///< null while it is stopped
+  std::shared_ptr<CoreNode> node;  ///< null while the machine is stopped
   std::map<std::string, std::shared_ptr<const std::string>> disk;
-  std::uint64_t life = 0;     ///< processes so far
-  std::uint64_t history = 0;  ///< hash of all that went in since its first start
-  bool cutOff = false;        ///< on the other side of a cut
+  std::uint64_t life = 0;     ///< number of process starts so far
+  std::uint64_t history = 0;  ///< hash of all inputs since its first start
+  bool cutOff = false;        ///< on the other side of a network partition
   bool diskStalled = false;
   std::vector<UnderWay> stalledWrites;
   bool leaving = false;
-  bool removed = false;  ///< for good, with its disk
+  bool removed = false;  ///< gone permanently, with its disk
 };
 
 class ModelWorld {
  public:
-  /// Founds a fleet and lets it settle: one leader whose state all its replicas have.
-  /// A rule that is broken before ends the schedule there. FailedPrecondition if it doesn't settle
-  /// within a minute of modelled time.
+  /// Bootstraps a fleet and runs it until it has settled: one leader, whose state all its replicas
+  /// hold. If a rule is broken on the way, the world is returned as it is at that point.
+  /// FailedPrecondition if the fleet doesn't settle within a minute of modelled time.
   static absl::StatusOr<ModelWorld> founded(const ModelOptions& options);
 
-  /// The actions other than `kContinue` that may be taken here.
+  /// The actions other than `kContinue` that are possible now.
   std::vector<Action> choices() const;
-  /// Takes an action, then goes on by default to the next place where there is a choice. An action
-  /// that doesn't fit here counts as `kContinue`.
+  /// Performs an action, then follows the default order to the next choice point. An action that
+  /// isn't possible now counts as `kContinue`.
   void apply(const Action& action);
-  /// Whether the schedule is over: a rule is broken or the horizon is reached.
+  /// Whether the schedule has ended: a rule is broken or the horizon is reached.
   bool ended() const { return !judge_.violation().empty() || now_ >= end_; }
-  /// Equal for worlds with equal futures: each machine's inputs, what is under way, the operators,
-  /// the limits that are used up.
+  /// Equal for worlds with equal futures: covers each machine's inputs, the pending events, the
+  /// operators and the counts of actions used.
   std::uint64_t fingerprint() const;
-  /// Ends a schedule: all trouble is over, and after the options' recovery time there is a leader.
+  /// Ends a schedule: ends all faults and checks that there is a leader after the recovery time.
   void finish();
 
   const SafetyJudge& judge() const { return judge_; }
   MonotonicTime now() const { return now_; }
-  /// Where it stands in its schedule: choices so far.
+  /// The position in the schedule: the number of choice points passed.
   int position() const { return position_; }
   const std::vector<ModelMachine>& machines() const { return machines_; }
-  /// Notes each step as text from now on.
+  /// Records each step as text from now on.
   void trace() { tracing_ = true; }
   const std::vector<std::string>& steps() const { return steps_; }
-  /// The machine that leads and names its state now; -1: none.
+  /// The machine that leads now and may present its state as the newest; -1: none.
   int leader() const;
-  /// Whether a candidate or a leader is on its way to another view.
+  /// Whether a candidate or a leader is changing to another view.
   bool changesView() const;
 
  private:
@@ -95,11 +95,12 @@
   void watch();
   MonotonicTime local(int index) const;
   int machineAt(const Address& address) const;
-  /// Machines that count as lost: a lost disk for the catch-up time; a machine that left until its
-  /// successor, the machine that joined in its place, has run for that time. The time counts while
-  /// all machines run, hear each other and have good disks: before, no loss can be made up.
+  /// The number of machines that count as lost: a lost disk counts for the catch-up time; a machine
+  /// that left counts until the machine that joined in its place has run for that time. The time
+  /// runs only while all machines run, are connected and have healthy disks, because replicas can't
+  /// be restored before that.
   int lostMachines() const;
-  /// Machines that were told to leave and have no successor yet.
+  /// The number of machines that were asked to leave and have no successor yet.
   int leavingUnreplaced() const;
   bool calm() const;
 
@@ -140,14 +141,15 @@
   Options settings_;
   std::vector<Address> seeds_;
   std::vector<ModelMachine> machines_;
-  std::vector<UnderWay> underWay_;  ///< sorted: what isn't delayed first, then by target, source
+  std::vector<UnderWay>
+      underWay_;  ///< sorted: items that aren't delayed first, then by target, source
   std::vector<UnderWay> held_;
   std::array<Operator, kOperators> operators_;
   std::array<int, kActionKinds> used_{};
-  std::vector<MonotonicTime> losses_;  ///< when each lost disk was lost
-  std::vector<MonotonicTime> joins_;   ///< when each machine came beside the others
-  int removals_ = 0;                   ///< machines that left for good
-  MonotonicTime calmSince_ = kNever;   ///< when the last trouble of a machine ended
+  std::vector<MonotonicTime> losses_;  ///< the time of each loss of a disk
+  std::vector<MonotonicTime> joins_;   ///< the time at which each additional machine joined
+  int removals_ = 0;                   ///< number of machines that left permanently
+  MonotonicTime calmSince_ = kNever;   ///< when the last fault of a machine ended
   SafetyJudge judge_;
   MonotonicTime now_{};
   MonotonicTime end_ = kForever;
--- a/src/model/operator_script.cc
+++ b/src/model/operator_script.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr int kMostTries = 6;
-constexpr Duration kSilence = seconds(1);  // then another machine is asked
-constexpr std::uint64_t kNumberStep = 2;   // both operators pick the same number on one base
+constexpr Duration kSilence = seconds(1);  // then the call goes to another machine
+constexpr std::uint64_t kNumberStep = 2;   // the same for both operators, so their versions collide
 
 Json bodyOf(const AnswerWeb& answer) {
   Json body = Json::parse(answer.body, nullptr, false);
--- a/src/model/rule.h
+++ b/src/model/rule.h
@@ -1,5 +1,5 @@
 #pragma once
-/// The rules that a modelled fleet is judged by.
+/// The safety and liveness rules that a modelled fleet is checked against.
 #include <absl/status/statusor.h>
 
 #include <algorithm>
@@ -11,14 +11,14 @@
 namespace peppergate::model {
 
 enum class Rule : std::uint8_t {
-  kOneLeader,            ///< one leader in an epoch, and one lease at a moment
-  kAcknowledgedLasts,    ///< an acknowledged order is in every later leader's state
-  kOneAcknowledgement,   ///< one acknowledgement for a version number and for a base
-  kTakenNotRefused,      ///< an order that was taken is never refused
-  kLeaverNotOnlyHolder,  ///< a member that leaves is never the only holder
-  kFreshReads,           ///< no read is older than what was acknowledged before the question
-  kToldLasts,            ///< a version that a read or a refusal told is not undone
-  kRecovery,             ///< some time after all trouble there is a leader
+  kOneLeader,            ///< at most one leader in an epoch, and one leader lease at any time
+  kAcknowledgedLasts,    ///< an acknowledged change is in the state of every later leader
+  kOneAcknowledgement,   ///< one change is acknowledged for each version number and each base
+  kTakenNotRefused,      ///< a change that was applied is never refused
+  kLeaverNotOnlyHolder,  ///< a member that leaves never has the only copy of a change
+  kFreshReads,           ///< a read returns at least what was acknowledged before it was sent
+  kToldLasts,            ///< a version that a read or a refusal reported is not undone
+  kRecovery,             ///< there is a leader some time after all faults have ended
 };
 inline constexpr std::array<std::string_view, 8> kRuleNames{"one-leader",
                                                             "acknowledged-lasts",
@@ -29,7 +29,7 @@
                                                             "told-lasts",
                                                             "recovery"};
 
-/// The rule with this name; NotFound for an unknown one.
+/// The rule with this name; NotFound for an unknown name.
 inline absl::StatusOr<Rule> ruleNamed(std::string_view name) {
   auto found = std::ranges::find(kRuleNames, name);
   if (found == kRuleNames.end())
@@ -37,7 +37,7 @@
   return static_cast<Rule>(found - kRuleNames.begin());
 }
 
-/// The rules that are judged; all unless some are named.
+/// The rules that are checked; all rules unless some were added.
 class RuleSet {
  public:
   void add(Rule rule) { bits_ |= 1U << static_cast<unsigned>(rule); }
--- a/src/model/safety_judge.cc
+++ b/src/model/safety_judge.cc
@@ -53,7 +53,7 @@
   if (order->acknowledged)
     fail(Rule::kTakenNotRefused, "an order that was taken was refused when repeated: " + changeId);
   order->refused = true;
-  // A refusal shows a version to its operator, as a read does.
+  // A refusal reports a version to its operator, as a read does.
   floor_ = std::max(floor_, newest);
 }
 
--- a/src/model/safety_judge.h
+++ b/src/model/safety_judge.h
@@ -1,5 +1,5 @@
 #pragma once
-/// Judges a modelled fleet by what goes in and out of it, and by who claims to lead.
+/// Checks the rules on a modelled fleet, from the operators' calls and the claims to leadership.
 #include <cstdint>
 #include <map>
 #include <string>
@@ -10,58 +10,61 @@
 
 namespace peppergate::model {
 
-/// What the judge is told of a machine that runs.
+/// What a running machine claims about its leadership.
 struct LeaderClaim {
   int machine = 0;
-  bool leads = false;    ///< under its lease, so that it may acknowledge
-  bool names = false;    ///< it tells others that its state is the newest
-  bool attests = false;  ///< it answers for a part without a primary
+  bool leads = false;    ///< it holds the leader lease, so it may acknowledge changes
+  bool names = false;    ///< it may present its state to others as the newest
+  bool attests = false;  ///< it serves reads in a partition without a leader
   Epoch epoch;
-  const ControlState* state = nullptr;  ///< what it published; set where it leads
+  const ControlState* state = nullptr;  ///< the state it published; set if it leads
 };
 
-/// An operator's order, as it was sent first.
+/// A change as its operator first sent it.
 struct SentOrder {
   std::string changeId;
-  std::uint64_t base = 0;    ///< the configuration version that it builds on
-  std::uint64_t number = 0;  ///< the version that it makes
+  std::uint64_t base = 0;    ///< the configuration version that it is based on
+  std::uint64_t number = 0;  ///< the configuration version that it creates
   bool acknowledged = false;
   bool refused = false;
-  std::string version;  ///< of the first acknowledgement
+  std::string version;  ///< the state version in the first acknowledgement
 };
 
-/// What was known when a read was sent.
+/// The newest versions known when a read was sent; the read may not return an older one.
 struct ReadFloor {
-  std::uint64_t acknowledged = 0;  ///< the newest version that was acknowledged
-  std::uint64_t told = 0;          ///< the newest version that any operator was told
+  std::uint64_t acknowledged = 0;  ///< the newest acknowledged version
+  std::uint64_t told = 0;          ///< the newest version reported to any operator
 };
 
-/// A value, copied with the modelled fleet. The first broken rule stays.
+/// Records the first rule that is broken; copied with the modelled fleet.
 class SafetyJudge {
  public:
   SafetyJudge() = default;
   explicit SafetyJudge(RuleSet rules) : rules_(rules) {}
-  /// An order is sent; again with the same id changes nothing.
+  /// Records a change that was sent; a repeat with the same id has no effect.
   void sent(const std::string& changeId, std::uint64_t base, std::uint64_t number);
-  /// An order was confirmed to its operator under this state version.
+  /// Records that a change was acknowledged to its operator with this state version.
   void acknowledged(const std::string& changeId, const std::string& version);
-  /// An order was refused for good; `newest` is the version that the refusal named, 0: none.
+  /// Records that a change was finally refused; `newest` is the version that the refusal reported,
+  /// 0: none.
   void refused(const std::string& changeId, std::uint64_t newest);
-  /// A read that was sent when the floor stood at `floor` gave this version, made by this order.
+  /// Records that a read sent when the floor was `floor` returned this version, created by this
+  /// change.
   void readAnswered(const ReadFloor& floor, std::uint64_t number, const std::string& changeId);
-  /// No answer to a read that is sent now may show an older version than this.
+  /// The floor for a read sent now: its answer may not show an older version.
   ReadFloor floor() const { return {acknowledgedFloor_, floor_}; }
-  /// All running machines, after each step.
+  /// Checks the claims of all running machines; called after each step.
   void watch(const std::vector<LeaderClaim>& claims);
-  /// A machine that left goes with its disk; `held` tells which orders the others' disks hold.
+  /// Checks that the other machines' disks, whose states are `others`, hold every acknowledged
+  /// change when a machine leaves with its disk.
   void left(int machine, const std::vector<const ControlState*>& others);
-  /// Whether there is a leader some time after all trouble has ended.
+  /// Records whether there is a leader after the recovery time.
   void recovered(bool hasLeader);
 
   const std::vector<SentOrder>& orders() const { return orders_; }
-  /// The first broken rule, empty while none is.
+  /// The first broken rule; empty if none is broken.
   const std::string& violation() const { return violation_; }
-  /// Adds what future verdicts depend on.
+  /// Appends everything that later checks depend on.
   void hashInto(std::vector<std::uint64_t>& words) const;
 
  private:
@@ -72,8 +75,8 @@
   RuleSet rules_;
   std::vector<SentOrder> orders_;
   std::map<Epoch, int> leaderOf_;
-  std::uint64_t acknowledgedFloor_ = 0;  ///< the newest version that was acknowledged
-  std::uint64_t floor_ = 0;              ///< the newest version that any operator was told
+  std::uint64_t acknowledgedFloor_ = 0;  ///< the newest acknowledged version
+  std::uint64_t floor_ = 0;              ///< the newest version reported to any operator
   std::string violation_;
 };
 
--- a/src/model/schedule.cc
+++ b/src/model/schedule.cc
@@ -24,7 +24,7 @@
   std::int64_t position = 0;
   if (space == std::string_view::npos || !readNumber(rest.substr(0, space), position) ||
       position < 0 || position > 1'000'000)
-    return wrongLine(line, "at POSITION ACTION is needed");
+    return wrongLine(line, "expected: at POSITION ACTION");
   auto action = parseAction(rest.substr(space + 1));
   if (!action.ok()) return wrongLine(line, std::string(action.status().message()));
   schedule.departures.push_back({static_cast<int>(position), *action});
@@ -38,7 +38,7 @@
   if (!kind.ok()) return wrongLine(line, std::string(kind.status().message()));
   if (space == std::string_view::npos || !readNumber(rest.substr(space + 1), count) || count < 0 ||
       count > 1'000'000)
-    return wrongLine(line, "limit ACTION COUNT is needed");
+    return wrongLine(line, "expected: limit ACTION COUNT");
   options.limit(*kind) = static_cast<int>(count);
   return absl::OkStatus();
 }
@@ -65,7 +65,7 @@
   }
   std::int64_t number = 0;
   if (!readNumber(value, number) || number < 0 || number > 1'000'000'000)
-    return wrongLine(line, "a whole number is needed");
+    return wrongLine(line, "the value must be an integer from 0 to 1000000000");
   if (name == "machines") options.machines = static_cast<int>(number);
   else if (name == "voters") options.voters = static_cast<int>(number);
   else if (name == "tolerate") options.tolerate = static_cast<int>(number);
@@ -82,7 +82,7 @@
 absl::Status readLine(const std::string& line, Schedule& schedule) {
   std::string_view text = line;
   auto space = text.find(' ');
-  if (space == std::string_view::npos) return wrongLine(line, "a name and a value are needed");
+  if (space == std::string_view::npos) return wrongLine(line, "expected: NAME VALUE");
   std::string_view name = text.substr(0, space), rest = text.substr(space + 1);
   if (name == "at") return readDeparture(line, rest, schedule);
   if (name == "limit") return readLimit(line, rest, schedule.options);
@@ -142,7 +142,7 @@
   }
   if (auto status = checkOptions(schedule.options); !status.ok()) return status;
   if (!std::ranges::is_sorted(schedule.departures, {}, &Departure::position))
-    return absl::InvalidArgumentError("departures must stand by rising position");
+    return absl::InvalidArgumentError("departures must be in ascending order of position");
   return schedule;
 }
 
--- a/src/model/schedule.h
+++ b/src/model/schedule.h
@@ -1,6 +1,6 @@
 #pragma once
-/// A schedule: a modelled fleet with the places where it departs from the default order. Its text
-/// replays exactly.
+/// A schedule: a modelled fleet and its departures from the default order. A schedule written as
+/// text replays exactly.
 #include <absl/status/statusor.h>
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace peppergate::model {
 
-/// An action other than the default, at the place with this number.
+/// An action other than the default, taken at this choice point.
 struct Departure {
   int position = 0;
   Action action;
@@ -20,30 +20,31 @@
 
 struct Schedule {
   ModelOptions options;
-  std::vector<Departure> departures;  ///< by rising position
+  std::vector<Departure> departures;  ///< in ascending order of position
 };
 
-/// What a schedule came to.
+/// The outcome of a schedule.
 struct ReplayReport {
-  std::string violation;  ///< the broken rule; empty: none
-  int positions = 0;      ///< places with a choice
+  std::string violation;  ///< the broken rule; empty if none
+  int positions = 0;      ///< number of choice points
   std::vector<std::string> steps;
 };
 
-/// Runs a schedule to its end. FailedPrecondition if its fleet can't be founded.
+/// Runs a schedule to its end and records its steps. FailedPrecondition if its fleet doesn't
+/// settle.
 absl::StatusOr<ReplayReport> replay(const Schedule& schedule);
 
-/// Runs a schedule from a settled fleet; without the text of its steps.
+/// Runs a schedule from a settled fleet, without recording its steps.
 ModelWorld run(const ModelWorld& settled, const std::vector<Departure>& departures);
 
-/// The schedule as text, one option or departure a line.
+/// The schedule as text, one option or departure per line.
 std::string scheduleText(const Schedule& schedule);
 
-/// Reads what `scheduleText` wrote; lines that begin with '#' are skipped. InvalidArgument or
-/// NotFound names the line that is wrong.
+/// Parses the output of `scheduleText`; lines that begin with '#' are skipped. InvalidArgument or
+/// NotFound names the line that is invalid.
 absl::StatusOr<Schedule> parseSchedule(const std::string& text);
 
-/// Leaves out departures as long as the same rule breaks.
+/// Removes departures for as long as the violation stays the same.
 std::vector<Departure> shortened(const ModelWorld& settled, std::vector<Departure> departures,
                                  const std::string& violation);
 
--- a/src/model/search.cc
+++ b/src/model/search.cc
@@ -17,7 +17,7 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-/// All schedules with exactly so many departures at most, over threads.
+/// One level of the search: all schedules with up to this many departures, spread over threads.
 class Level {
  public:
   Level(const ModelOptions& options, const SearchBounds& bounds, int departures, StateSet& states,
@@ -28,7 +28,7 @@
         states_(states),
         start_(start) {}
 
-  /// Whether all of the level was covered.
+  /// Runs the level; returns whether all of it was covered.
   bool run(const ModelWorld& settled) {
     std::vector<Departure> path;
     explore(settled, path, departures_, departures_ > 0);
@@ -49,7 +49,7 @@
 
  private:
   void work() {
-    // Each thread founds a fleet of its own, so that threads share no machine.
+    // Each thread bootstraps its own fleet, so that threads share no nodes.
     auto settled = ModelWorld::founded(options_);
     if (!settled.ok()) return;
     while (true) {
@@ -75,8 +75,8 @@
     return spent;
   }
 
-  /// Follows the default order from a world; at each place each departure is a branch of its own,
-  /// or a task for the threads where `spread` says so.
+  /// Follows the default order from a world. At each choice point, each departure becomes a branch,
+  /// or a task for the threads if `spread` is set.
   void explore(ModelWorld world, std::vector<Departure>& path, int left, bool spread) {
     while (!world.ended()) {
       if (!states_.enter(world.fingerprint(), left)) return;
@@ -161,9 +161,10 @@
 
 namespace {
 
-constexpr double kShareWhileChanging = 0.2;  // of departures where a steered schedule changes views
+constexpr double kShareWhileChanging =
+    0.2;  // of departures, for steered walks during a view change
 
-/// How likely a steered schedule takes an action, against others that are offered with it.
+/// The relative probability of an action's kind in a steered walk.
 std::uint64_t weightOf(ActionKind kind) {
   using enum ActionKind;
   switch (kind) {
@@ -183,7 +184,7 @@
   }
 }
 
-/// One of the offered actions; each kind is drawn by its weight, then one of its targets.
+/// Picks one of the possible actions: a kind by weight, then one of its targets uniformly.
 Action steeredChoice(const std::vector<Action>& choices, Random& random) {
   std::map<ActionKind, std::vector<Action>> kinds;
   for (const Action& action : choices) kinds[action.kind].push_back(action);
@@ -197,7 +198,7 @@
   return {};
 }
 
-/// The next decision of a random schedule.
+/// The next action of a random schedule.
 Action randomAction(const ModelWorld& world, const WalkBounds& bounds, Random& random) {
   bool steered = bounds.steering == Steering::kReplacements;
   double share = bounds.departureShare;
@@ -208,7 +209,7 @@
   return steered ? steeredChoice(choices, random) : choices[random.below(choices.size())];
 }
 
-/// One random schedule; its departures are added to the path.
+/// Runs one random schedule; appends its departures to `path`.
 ModelWorld randomRun(const ModelWorld& settled, const WalkBounds& bounds, Random& random,
                      std::vector<Departure>& path, StateSet& states) {
   ModelWorld world = settled;
@@ -221,14 +222,14 @@
   return world;
 }
 
-/// The rule without the names and numbers of one schedule.
+/// The name of the broken rule, without the details of the schedule.
 std::string ruleOf(const std::string& violation) {
   std::string rule = violation.substr(0, violation.find(':'));
   std::erase_if(rule, [](char letter) { return letter >= '0' && letter <= '9'; });
   return rule;
 }
 
-/// Random schedules over threads; all of them add to one report.
+/// Random schedules, run by several threads into one shared report.
 struct Walks {
   const ModelOptions& options;
   const WalkBounds& bounds;
--- a/src/model/search.h
+++ b/src/model/search.h
@@ -1,6 +1,6 @@
 #pragma once
-/// Searches all schedules with a bounded number of departures from the default order, and deep
-/// random ones.
+/// Exhaustive search of the schedules with a bounded number of departures from the default order,
+/// and random schedules (walks) for greater depths.
 #include <absl/status/statusor.h>
 
 #include <cstdint>
@@ -12,40 +12,40 @@
 namespace peppergate::model {
 
 struct SearchBounds {
-  int departures = 2;  ///< in one schedule; what is kept back is released at no cost
+  int departures = 2;  ///< in one schedule; releasing a held message costs nothing
   unsigned threads = 1;
-  Duration time = seconds(600);           ///< of the real clock
-  std::uint64_t mostStates = 50'000'000;  ///< that are remembered
+  Duration time = seconds(600);           ///< wall-clock limit
+  std::uint64_t mostStates = 50'000'000;  ///< limit on the states that are remembered
 };
 
 struct SearchReport {
-  std::uint64_t states = 0;         ///< distinct ones
-  std::uint64_t transitions = 0;    ///< choices that were taken
-  std::uint64_t schedules = 0;      ///< that were run to their end
-  int depth = 0;                    ///< choices in the longest schedule
-  int departures = 0;               ///< the deepest finished bound; less than asked if time ran out
-  double seconds = 0;               ///< of the real clock
-  bool finished = false;            ///< all schedules within the bound were covered
-  std::string violation;            ///< empty: no rule was broken
-  std::optional<Schedule> failing;  ///< the shortest schedule that breaks it
+  std::uint64_t states = 0;       ///< distinct states
+  std::uint64_t transitions = 0;  ///< actions performed
+  std::uint64_t schedules = 0;    ///< schedules run to their end
+  int depth = 0;                  ///< choice points in the longest schedule
+  int departures = 0;     ///< the highest bound finished; below the requested one if time ran out
+  double seconds = 0;     ///< wall-clock time
+  bool finished = false;  ///< all schedules within the bound were covered
+  std::string violation;  ///< the broken rule; empty if none
+  std::optional<Schedule> failing;  ///< the schedule that breaks it, shortened
 };
 
-/// Covers every schedule with 0, 1, 2 ... departures in turn, so that the first one that fails has
-/// as few as possible. FailedPrecondition if the fleet can't be founded.
+/// Covers all schedules with 0, 1, 2 ... departures in turn, so that the first failing schedule has
+/// as few departures as possible. FailedPrecondition if the fleet doesn't settle.
 absl::StatusOr<SearchReport> search(const ModelOptions& options, const SearchBounds& bounds);
 
 /// How a random schedule chooses its departures.
 enum class Steering : std::uint8_t {
-  kNone,  ///< each choice that is offered is as likely as any other
-  /// Machines that join, leave, are replaced, lose their disks or are cut off are likelier than
-  /// lost messages, and departures are likelier while a view is being changed.
+  kNone,  ///< all possible actions are equally likely
+  /// Joining, leaving, replacing, wiping and partitioning machines is more likely than losing
+  /// messages, and departures are more likely while a view change is in progress.
   kReplacements,
 };
 
 struct WalkBounds {
   std::uint64_t firstSeed = 1;
   std::uint64_t lastSeed = 100;
-  double departureShare = 0.05;  ///< of the places with a choice
+  double departureShare = 0.05;  ///< probability of a departure at a choice point
   Steering steering = Steering::kNone;
   unsigned threads = 1;
   Duration time = seconds(600);
@@ -54,16 +54,16 @@
 struct WalkReport {
   std::uint64_t walks = 0;
   std::uint64_t transitions = 0;
-  std::uint64_t states = 0;  ///< distinct ones
-  int depth = 0;
+  std::uint64_t states = 0;  ///< distinct states
+  int depth = 0;             ///< choice points in the longest walk
   std::uint64_t failed = 0;
   double seconds = 0;
   std::map<std::string, std::uint64_t> violations;  ///< how many walks broke each rule
-  std::string violation;                            ///< of the schedule below
-  std::optional<Schedule> failing;  ///< the shortest of the failing ones, none left out in vain
+  std::string violation;                            ///< the rule that `failing` breaks
+  std::optional<Schedule> failing;  ///< the failing schedule with the fewest departures, shortened
 };
 
-/// Random schedules, one a seed; the seed is also that of the machines' own random numbers.
+/// Runs one random schedule per seed; the seed also seeds the machines' random number generators.
 absl::StatusOr<WalkReport> walk(const ModelOptions& options, const WalkBounds& bounds);
 
 }  // namespace peppergate::model
--- a/src/model/state_set.h
+++ b/src/model/state_set.h
@@ -1,5 +1,5 @@
 #pragma once
-/// The states that a search has been to, with how many departures were left there; for threads.
+/// The states that a search has visited, each with the number of departures left there.
 #include <array>
 #include <atomic>
 #include <cstdint>
@@ -8,9 +8,11 @@
 
 namespace peppergate::model {
 
+/// Thread-safe: split into shards with a lock each.
 class StateSet {
  public:
-  /// Whether a state has to be gone on from: it is new, or was met with fewer departures left.
+  /// Adds a state; returns whether to explore it: it is new, or was visited with fewer departures
+  /// left.
   bool enter(std::uint64_t fingerprint, int departuresLeft) {
     Shard& shard = shards_[fingerprint % kShards];
     std::lock_guard lock(shard.mutex);
--- a/src/model/suite.cc
+++ b/src/model/suite.cc
@@ -6,11 +6,11 @@
 namespace peppergate::model {
 namespace {
 
-constexpr Duration kPartWithin = seconds(120);  // a part that isn't done by then has failed
+constexpr Duration kPartWithin = seconds(120);  // a part that takes longer fails
 
-constexpr Duration kRecovery = seconds(12);  // until there is a leader after a random schedule
+constexpr Duration kRecovery = seconds(12);  // for a leader after the end of a random schedule
 
-/// One part; with walks it runs random schedules instead of a search.
+/// One part of the suite. With `walks` above 0 it runs random schedules instead of a search.
 struct Part {
   const char* name;
   int machines, voters, tolerate, orders;
@@ -21,7 +21,7 @@
   Steering steering = Steering::kNone;
 };
 
-// All parts judge all rules; `recovery` is a rule of the random schedules.
+// All parts check all rules, except that only random schedules check `recovery`.
 constexpr std::array<Part, 12> kParts{{
     {"three machines, one departure", 3, 0, 1, 3, 3.6, Granularity::kFine, 1, 0},
     {"three machines, one departure, each message", 3, 0, 1, 3, 1.8, Granularity::kFull, 1, 0},
--- a/src/model/suite.h
+++ b/src/model/suite.h
@@ -1,5 +1,5 @@
 #pragma once
-/// The fixed searches and random schedules that every test run makes, in well under a minute.
+/// The fixed searches and random schedules of every test run; they take well under a minute.
 #include <string>
 #include <vector>
 
@@ -7,15 +7,15 @@
 
 namespace peppergate::model {
 
-/// How one part of the suite ended.
+/// The result of one part of the suite.
 struct SuiteResult {
   std::string name;
-  std::string line;                 ///< its counts, or why it couldn't run
+  std::string line;                 ///< its counts, or why it could not run
   bool passed = false;              ///< no rule was broken, and the search was finished
-  std::optional<Schedule> failing;  ///< where a rule was broken
+  std::optional<Schedule> failing;  ///< set if a rule was broken
 };
 
-/// Runs the suite's parts one after the other, each on so many threads.
+/// Runs the parts of the suite one after the other, each on this many threads.
 std::vector<SuiteResult> runSuite(unsigned threads);
 
 /// A search's counts as one line.
--- a/tests/history_checker_test.cc
+++ b/tests/history_checker_test.cc
@@ -1,4 +1,4 @@
-// The history checker on histories made by hand, good and bad.
+// The history checker on hand-written histories, linearizable and not.
 #include "history/check_history.h"
 
 #include <algorithm>
@@ -66,20 +66,20 @@
   std::vector<OperatorCall> calls_;
 };
 
-constexpr int kOpen = 0;  // the end of a call without an answer is not looked at
+constexpr int kOpen = 0;  // ignored: a call without an answer has no end
 
 }  // namespace
 
 TEST_GROUP(HistoryChecker){};
 
-TEST(HistoryChecker, TakesChangesAndReadsInOrder) {
+TEST(HistoryChecker, AcceptsChangesAndReadsInOrder) {
   HandMade history;
   history.change("a", 0, 3, 0, 10).read(3, "contents-a", 11, 12);
   history.change("b", 3, 5, 20, 30).read(5, "contents-b", 31, 32).final();
   CHECK(history.good());
 }
 
-TEST(HistoryChecker, TakesAReadOfEitherVersionDuringAChange) {
+TEST(HistoryChecker, AcceptsAReadOfEitherVersionDuringAChange) {
   HandMade older, newer;
   older.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(3, "contents-a", 22, 25);
   newer.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(5, "contents-b", 22, 25);
@@ -106,7 +106,7 @@
   CHECK(history.finds(ViolationKind::kStaleRead));
 }
 
-TEST(HistoryChecker, LeavesAChangeWithoutAnswerOpen) {
+TEST(HistoryChecker, AllowsEitherOutcomeOfAnUnansweredChange) {
   HandMade lost, taken;
   lost.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kOpen, Outcome::kUnknown);
   lost.change("c", 3, 6, 40, 50).read(6, "contents-c", 60, 61).final();
@@ -116,7 +116,7 @@
   CHECK(taken.good());
 }
 
-TEST(HistoryChecker, LetsAChangeWithoutAnswerTakeEffectLate) {
+TEST(HistoryChecker, AllowsAnUnansweredChangeToTakeEffectLate) {
   HandMade history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kOpen, Outcome::kUnknown);
   history.read(3, "contents-a", 500, 501).read(5, "contents-b", 600, 601);
@@ -130,20 +130,20 @@
   CHECK(history.finds(ViolationKind::kNotLinearizable));
 }
 
-TEST(HistoryChecker, TakesTheLoserOfARace) {
+TEST(HistoryChecker, AcceptsTheRefusalOfAConcurrentChange) {
   HandMade history;
   history.change("a", 0, 3, 0, 10);
   history.change("b", 3, 5, 20, 30).change("c", 3, 6, 20, 29, Outcome::kRefused);
   CHECK(history.good());
 }
 
-TEST(HistoryChecker, RejectsTwoConfirmedOnOneBase) {
+TEST(HistoryChecker, RejectsTwoAcknowledgedChangesOnOneBase) {
   HandMade history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).change("c", 3, 6, 20, 40);
   CHECK(history.finds(ViolationKind::kTwoOnOneBase));
 }
 
-TEST(HistoryChecker, RejectsOneNumberConfirmedWithTwoContents) {
+TEST(HistoryChecker, RejectsOneVersionAcknowledgedWithTwoContents) {
   HandMade history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).change("c", 3, 5, 20, 40);
   CHECK(history.finds(ViolationKind::kTwoContents));
@@ -161,14 +161,14 @@
   CHECK(history.finds(ViolationKind::kUnknownContents));
 }
 
-TEST(HistoryChecker, TakesTheRepeatOfATakenOrder) {
+TEST(HistoryChecker, AcceptsTheRepeatOfAnAppliedChange) {
   HandMade history;
   history.change("a", 0, 3, 0, kOpen, Outcome::kUnknown).change("b", 3, 5, 20, 30);
   history.change("a", 0, 3, 40, 50);
   CHECK(history.good());
 }
 
-TEST(HistoryChecker, RejectsTheRefusedRepeatOfATakenOrder) {
+TEST(HistoryChecker, RejectsTheRefusedRepeatOfAnAppliedChange) {
   HandMade acknowledged, readBack;
   acknowledged.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30);
   acknowledged.change("a", 0, 3, 40, 50, Outcome::kRefused);
@@ -178,8 +178,8 @@
   CHECK(readBack.finds(ViolationKind::kRefusedRepeat));
 }
 
-TEST(HistoryChecker, RejectsARefusalThatOnlyTheOrderItselfExplains) {
-  // "a" is built on by "b", so it was taken; nothing else can have been in its way.
+TEST(HistoryChecker, RejectsARefusalThatOnlyTheSameChangeExplains) {
+  // "b" is based on "a", so "a" took effect; no other change can have caused its refusal.
   HandMade history;
   history.change("a", 0, 3, 0, kOpen, Outcome::kUnknown);
   history.change("a", 0, 3, 20, 30, Outcome::kRefused).change("b", 3, 5, 40, 50);
@@ -192,10 +192,10 @@
   CHECK(history.finds(ViolationKind::kRefusedOnNewest));
 }
 
-TEST(HistoryChecker, TakesTheRefusalOfAnInvalidChange) {
+TEST(HistoryChecker, AcceptsTheRefusalOfAnInvalidChange) {
   HandMade history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30, Outcome::kRefused).improper();
-  history.change("c", 3, 2, 40, 50, Outcome::kRefused);  // its number is not above its base
+  history.change("c", 3, 2, 40, 50, Outcome::kRefused);  // its version is not above its base
   CHECK(history.good());
 }
 
@@ -222,8 +222,8 @@
   CHECK(history.finds(ViolationKind::kRefusedContents));
 }
 
-TEST(HistoryChecker, TakesOneConfigurationOfTwoOperators) {
-  // Both send the very same contents under the same number: there is nothing to tell apart.
+TEST(HistoryChecker, AcceptsTheSameContentsFromTwoOperators) {
+  // Both send identical contents with the same version, so the two changes are indistinguishable.
   HandMade history;
   history.change("a", 0, 3, 0, 10);
   history.changeTo("b", 3, 5, "same", 20, 30, Outcome::kDone);
@@ -231,10 +231,10 @@
   CHECK(history.good());
 }
 
-TEST(HistoryChecker, ChoosesAmongChangesWithoutAnswerAsLaterAnswersDemand) {
+TEST(HistoryChecker, ChoosesAmongUnansweredChangesByLaterAnswers) {
   HandMade history;
   history.change("a", 0, 1, 0, 10);
-  // Of each pair of rivals one has to be in the chain; only the last read tells which.
+  // One change of each pair must be in the chain; only the last read determines which.
   const int kPairs = 200;
   std::uint64_t base = 1;
   for (int pair = 0; pair < kPairs; ++pair) {
@@ -252,7 +252,7 @@
   CHECK(bad.finds(ViolationKind::kStaleRead));
 }
 
-TEST(HistoryChecker, ChecksEachRegisterAlone) {
+TEST(HistoryChecker, ChecksEachRegisterSeparately) {
   HandMade one;
   one.change("a", 0, 3, 0, 10);
   OperatorCall other;
@@ -269,7 +269,7 @@
   other.start = 40;
   other.end = 50;
   other.order = "b";
-  other.version = Version{1, 2};  // later in time, yet an earlier version
+  other.version = Version{1, 2};  // later in time, but a lower version
   calls.push_back(other);
   const Verdict verdict = checkHistory(calls);
   LONGS_EQUAL(1, verdict.size());
@@ -305,7 +305,7 @@
   STRCMP_EQUAL(line.c_str(), writeCall(calls->at(1)).c_str());
 }
 
-TEST(HistoryFile, NamesTheLineAndTheFieldThatIsWrong) {
+TEST(HistoryFile, ReportsTheLineAndTheInvalidField) {
   const std::string good =
       R"({"register":"r","operator":"o","call":"read","outcome":"unknown","start":1})";
   LONGS_EQUAL(0, errorOf(good).line);
--- a/tests/model_check_test.cc
+++ b/tests/model_check_test.cc
@@ -1,5 +1,5 @@
-// The model checker: it finds each fault that is put into the control code, its schedules replay,
-// and the control code as it is breaks no rule within a small bound.
+// The model checker finds each fault injected into the control code, its schedules replay exactly,
+// and the control code without faults breaks no rule within a small bound.
 #include <algorithm>
 #include <array>
 #include <optional>
@@ -19,16 +19,16 @@
   int most;
 };
 
-/// A fault and the smallest search that finds it.
+/// An injected fault and the smallest search that finds it.
 struct MutantRow {
   ControlFault fault;
-  Rule rule;  // that it breaks
+  Rule rule;  // the rule that the fault breaks
   int machines;
   int voters;
   double horizon;  // seconds
   Granularity granularity;
   int departures;
-  std::vector<AllowedAction> allowed;  // none: all kinds within their limits
+  std::vector<AllowedAction> allowed;  // empty: all kinds within their default limits
 };
 
 ModelOptions optionsFor(const MutantRow& row) {
@@ -49,11 +49,11 @@
   bounds.departures = departures;
   bounds.threads = 2;
   auto report = search(options, bounds);
-  CHECK_TEXT(report.ok(), "the fleet can't be founded");
+  CHECK_TEXT(report.ok(), "the fleet did not settle");
   return *report;
 }
 
-/// The fault is found, and the schedule that shows it replays from its text.
+/// Checks that the search finds the fault and that the failing schedule replays from its text.
 void found(const MutantRow& row) {
   ModelOptions options = optionsFor(row);
   options.faults.set(row.fault);
@@ -66,7 +66,7 @@
   STRCMP_EQUAL(with.violation.c_str(), replayed->violation.c_str());
 }
 
-/// The same search without the fault finds nothing.
+/// Checks that the same search without the fault finds no violation.
 void cleanWithout(const MutantRow& row) {
   SearchReport without = searched(optionsFor(row), row.departures);
   CHECK_TEXT(without.violation.empty(), without.violation.c_str());
@@ -82,7 +82,7 @@
 
 TEST_GROUP(ModelCheck){};
 
-TEST(ModelCheck, AMajorityThatIsOffByOneIsFound) {
+TEST(ModelCheck, FindsAMajorityThatIsOffByOne) {
   using enum ActionKind;
   foundAndCleanWithout({ControlFault::kMajorityOffByOne,
                         Rule::kOneLeader,
@@ -94,12 +94,12 @@
                         {{kCutOff, 2}}});
 }
 
-TEST(ModelCheck, ALeaseThatIsNotWaitedOutIsFound) {
+TEST(ModelCheck, FindsALeaseThatIsNotWaitedOut) {
   foundAndCleanWithout(
       {ControlFault::kLeaseNotWaitedOut, Rule::kOneLeader, 3, 0, 3, Granularity::kFine, 1, {}});
 }
 
-TEST(ModelCheck, AnAnswerBeforeItsWriteIsFound) {
+TEST(ModelCheck, FindsAReplyBeforeItsWriteIsSynced) {
   using enum ActionKind;
   foundAndCleanWithout({ControlFault::kSyncSkipped,
                         Rule::kAcknowledgedLasts,
@@ -111,7 +111,7 @@
                         {{kBounce, 1}, {kCrash, 1}}});
 }
 
-TEST(ModelCheck, AnIgnoredReplicaTagIsFound) {
+TEST(ModelCheck, FindsAnIgnoredReplicaTag) {
   using enum ActionKind;
   foundAndCleanWithout({ControlFault::kCopyTagIgnored,
                         Rule::kAcknowledgedLasts,
@@ -123,7 +123,7 @@
                         {{kCrash, 2}, {kRestart, 1}}});
 }
 
-TEST(ModelCheck, ForgottenOrdersAreFound) {
+TEST(ModelCheck, FindsDroppedRememberedChanges) {
   using enum ActionKind;
   foundAndCleanWithout({ControlFault::kRememberedOrdersDropped,
                         Rule::kAcknowledgedLasts,
@@ -135,7 +135,7 @@
                         {{kCrash, 1}}});
 }
 
-TEST(ModelCheck, NewVotersWithoutAMajorityOfTheOldOnesAreFound) {
+TEST(ModelCheck, FindsNewVotersWithoutAMajorityOfTheFormerOnes) {
   using enum ActionKind;
   foundAndCleanWithout({ControlFault::kOneMajorityOfVoters,
                         Rule::kOneLeader,
@@ -147,9 +147,9 @@
                         {{kCutOff, 2}}});
 }
 
-TEST(ModelCheck, AfterAPlannedReplacementAnotherDiskMayBeLost) {
+TEST(ModelCheck, ADiskLossAfterAPlannedReplacementLosesNothing) {
   using enum ActionKind;
-  for (int lost : {0, 1, 3}) {  // the leader, its replica, the newcomer
+  for (int lost : {0, 1, 3}) {  // the leader, its backup, the new machine
     ModelOptions options;
     options.horizon = seconds(20);
     options.recovery = seconds(12);
@@ -159,7 +159,7 @@
       for (MonotonicTime until = world->now() + seconds(length); world->now() < until;)
         world->apply({});
     };
-    auto take = [&](const Action& action) {  // as soon as it is offered
+    auto take = [&](const Action& action) {  // as soon as it is possible
       auto offered = [&] {
         std::vector<Action> choices = world->choices();
         return std::ranges::find(choices, action) != choices.end();
@@ -180,7 +180,7 @@
 
 namespace {
 
-/// A fleet in which machines are replaced, and a schedule written as it goes.
+/// A fleet whose machines are replaced by a test, step by step.
 class Replacements {
  public:
   Replacements(int machines, int tolerate, ControlFaultInjection faults = {}) {
@@ -200,7 +200,7 @@
     for (MonotonicTime until = world_->now() + seconds(length); world_->now() < until;)
       world_->apply({});
   }
-  /// As soon as it is offered.
+  /// Performs the action as soon as it is possible.
   void take(const Action& action) {
     auto offered = [&] {
       std::vector<Action> choices = world_->choices();
@@ -219,7 +219,7 @@
   bool hasLeft(int machine) const {
     return world_->machines()[static_cast<std::size_t>(machine)].removed;
   }
-  /// The broken rule after all trouble; empty: none.
+  /// The broken rule after all faults have ended; empty if none.
   std::string verdict() {
     world_->finish();
     return world_->judge().violation();
@@ -229,7 +229,8 @@
   std::optional<ModelWorld> world_;
 };
 
-/// A planned replacement of each machine but the leader, which loses its disk at once.
+/// Replaces a machine other than the leader, which loses its disk right after the machine is asked
+/// to leave. Returns the broken rule; empty if none.
 std::string leaderLostAfterTheWordToLeave(int leaver, ControlFaultInjection faults) {
   using enum ActionKind;
   Replacements fleet(3, 1, faults);
@@ -252,7 +253,7 @@
 
 }  // namespace
 
-TEST(ModelCheck, SuccessorsThatComeFirstLeaveNoDeadSlot) {
+TEST(ModelCheck, SuccessorsThatJoinFirstLeaveNoUnusedVoterSlot) {
   using enum ActionKind;
   for (const auto& [machines, tolerate] : kFleetSizes) {
     Replacements fleet(machines, tolerate);
@@ -269,7 +270,7 @@
   }
 }
 
-TEST(ModelCheck, SuccessorsThatComeAfterwardsTakeTheSlots) {
+TEST(ModelCheck, SuccessorsThatJoinLaterTakeTheVoterSlots) {
   using enum ActionKind;
   for (const auto& [machines, tolerate] : kFleetSizes) {
     Replacements fleet(machines, tolerate);
@@ -286,12 +287,12 @@
   }
 }
 
-TEST(ModelCheck, TheOnlyBackupThatLeavesOutlastsTheLossOfItsLeader) {
+TEST(ModelCheck, LosingTheLeaderWhileABackupLeavesBreaksNoRule) {
   using enum ActionKind;
   for (const auto& [machines, tolerate] : kFleetSizes)
     for (int leaver = 0; leaver < machines; ++leaver) {
       Replacements fleet(machines, tolerate);
-      fleet.wait(4);  // the orders are acknowledged
+      fleet.wait(4);  // until the changes are acknowledged
       int leader = fleet.leader();
       if (leader == leaver) continue;
       fleet.take({kLeave, leaver});
@@ -302,7 +303,7 @@
     }
 }
 
-TEST(ModelCheck, ALeaverThatDoesNotWaitIsFound) {
+TEST(ModelCheck, FindsAMachineThatLeavesBeforeItsHandover) {
   ControlFaultInjection faults;
   faults.set(ControlFault::kLeaverEndsEarly);
   bool seen = false;
@@ -327,7 +328,7 @@
   }
 }
 
-TEST(ModelCheck, ACopyOfAFleetGoesItsOwnWay) {
+TEST(ModelCheck, SteppingACopyDoesNotAffectTheOriginal) {
   ModelOptions options;
   auto settled = ModelWorld::founded(options);
   CHECK(settled.ok());
@@ -343,7 +344,7 @@
   }
 }
 
-TEST(ModelCheck, AReplayIsTheSameEachTime) {
+TEST(ModelCheck, ReplaysAreDeterministic) {
   Schedule schedule;
   schedule.departures = {{4, {ActionKind::kHold, 0}}, {9, {ActionKind::kBounce, 1}}};
   auto first = replay(schedule), second = replay(schedule);
@@ -352,7 +353,7 @@
   CHECK(first->positions > 20);
 }
 
-TEST(ModelCheck, WrongSchedulesAreRefusedWithTheLine) {
+TEST(ModelCheck, RejectsInvalidSchedules) {
   for (const char* text :
        {"machines", "machines x", "machines 2", "at 1", "at x drop 0", "at 1 nothing 0",
         "at 1 crash -1", "limit drop", "limit no 1", "granularity some", "fault none", "colour 3",
@@ -361,7 +362,7 @@
   CHECK(parseSchedule("# a remark\nmachines 4\nat 1 crash 2\n").ok());
 }
 
-TEST(ModelCheck, RandomSchedulesAreTheSameForASeed) {
+TEST(ModelCheck, RandomSchedulesAreDeterministicForASeed) {
   WalkBounds bounds;
   bounds.lastSeed = 20;
   ModelOptions options;
--- a/tests/model_schedules_test.cc
+++ b/tests/model_schedules_test.cc
@@ -1,4 +1,5 @@
-// Schedules of control machines that once broke a rule, each with the rule in its name.
+// Regression test: schedules of control machines that once broke a rule. Each file is named after
+// what happened.
 #include <filesystem>
 #include <fstream>
 #include <sstream>
@@ -40,7 +41,7 @@
 
 TEST_GROUP(ModelSchedules){};
 
-TEST(ModelSchedules, NoneOfThemBreaksARuleAnyMore) {
+TEST(ModelSchedules, NoScheduleBreaksARule) {
   auto files = scheduleFiles();
   CHECK(files.size() >= 7);
   for (const auto& file : files) {
@@ -49,13 +50,13 @@
   }
 }
 
-TEST(ModelSchedules, ATailThatIsShownIsFound) {
+TEST(ModelSchedules, FindsAShownStateThatIsNotYetConfirmed) {
   Schedule schedule = scheduleIn(SOURCE_FOLDER "/tests/schedules/tail-of-one-disk-shown.txt");
   schedule.options.faults.set(ControlFault::kTailShown);
   CHECK(brokenRule(schedule).starts_with("told-lasts"));
 }
 
-TEST(ModelSchedules, AViewFollowedByItsOwnVotersAloneIsFound) {
+TEST(ModelSchedules, FindsAViewChangeThatIgnoresTheFormerVoters) {
   Schedule schedule =
       scheduleIn(SOURCE_FOLDER "/tests/schedules/read-only-leader-beside-a-leader.txt");
   schedule.options.faults.set(ControlFault::kFormerVotersIgnored);
