--- a/src/history/chain_orders.h
+++ b/src/history/chain_orders.h
@@ -37,8 +37,8 @@
 
 /// Everything that the answers say about one register.
 struct ChainOrders {
-  std::vector<Candidate>
-      candidates;  // by version; the first stands for the register before any change
+  // by version; the first stands for the register before any change
+  std::vector<Candidate> candidates;
   std::vector<Refusal> refusals;
   std::vector<OperatorCall> reads;  // the answered reads
   Verdict impossible;               // answers that no order of the calls can explain
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -40,7 +40,7 @@
 };
 
 /// One call of one operator to one machine. A change that is sent again is a separate call with the
-/// same id in `order`.
+/// same change id.
 struct OperatorCall {
   std::string registerName;  // registers are independent of each other
   std::string operatorName;
--- a/src/model/model_world.h
+++ b/src/model/model_world.h
@@ -141,8 +141,8 @@
   Options settings_;
   std::vector<Address> seeds_;
   std::vector<ModelMachine> machines_;
-  std::vector<UnderWay>
-      underWay_;  ///< sorted: items that aren't delayed first, then by target, source
+  /// Sorted: items that aren't delayed first, then by target and source.
+  std::vector<UnderWay> underWay_;
   std::vector<UnderWay> held_;
   std::array<Operator, kOperators> operators_;
   std::array<int, kActionKinds> used_{};
--- a/src/model/operator_script.h
+++ b/src/model/operator_script.h
@@ -47,7 +47,7 @@
   /// Opens the next call and returns what to send.
   OperatorCall call(TicketId ticket, MonotonicTime now, SafetyJudge& judge);
   /// Handles the answer to the open call. If it leaves the outcome unknown, the same call is due
-  /// again after `pause`, at another machine.
+  /// again after the retry delay, at another machine.
   void answered(const AnswerWeb& answer, MonotonicTime now, Duration pause, SafetyJudge& judge);
   /// Handles a broken connection: the outcome of the open call is unknown.
   void broken(MonotonicTime now);
@@ -77,8 +77,8 @@
   OperatorCall current_, first_;
 };
 
-/// Both operators, with scripts of `orders` changes together. Both begin with a change on the same
-/// base and with the same version number; then they read, repeat and make further changes.
+/// Both operators, with scripts that make this many changes together. Both begin with a change on
+/// the same base and with the same version number; then they read, repeat and make further changes.
 std::array<Operator, kOperators> operatorsFor(int orders);
 
 }  // namespace peppergate::model
--- a/src/model/safety_judge.h
+++ b/src/model/safety_judge.h
@@ -45,7 +45,7 @@
   void sent(const std::string& changeId, std::uint64_t base, std::uint64_t number);
   /// Records that a change was acknowledged to its operator with this state version.
   void acknowledged(const std::string& changeId, const std::string& version);
-  /// Records that a change was finally refused; `newest` is the version that the refusal reported,
+  /// Records that a change was finally refused, and the newest version that the refusal reported;
   /// 0: none.
   void refused(const std::string& changeId, std::uint64_t newest);
   /// Records that a read sent when the floor was `floor` returned this version, created by this
--- a/src/model/search.cc
+++ b/src/model/search.cc
@@ -75,8 +75,8 @@
     return spent;
   }
 
-  /// Follows the default order from a world. At each choice point, each departure becomes a branch,
-  /// or a task for the threads if `spread` is set.
+  /// Follows the default order from a world. At each choice point, each departure is explored as a
+  /// branch, or queued as a task for the threads.
   void explore(ModelWorld world, std::vector<Departure>& path, int left, bool spread) {
     while (!world.ended()) {
       if (!states_.enter(world.fingerprint(), left)) return;
