--- a/src/history/assigned_versions.cc
+++ b/src/history/assigned_versions.cc
@@ -113,7 +113,7 @@
 
   const std::vector<OperatorCall>& calls_;
   std::map<std::string, Order> orders_;
-  std::vector<Order> acknowledged_;  // by version
+  std::vector<Order> acknowledged_;  // sorted by version
   Verdict verdict_;
 };
 
--- a/src/model/search.cc
+++ b/src/model/search.cc
@@ -161,8 +161,7 @@
 
 namespace {
 
-constexpr double kShareWhileChanging =
-    0.2;  // of departures, for steered walks during a view change
+constexpr double kShareWhileChanging = 0.2;  // at least, in steered walks
 
 /// The relative probability of an action's kind in a steered walk.
 std::uint64_t weightOf(ActionKind kind) {
