--- a/src/sim/batch_engine.cc
+++ b/src/sim/batch_engine.cc
@@ -30,7 +30,7 @@
   run.version = version;
   run.last = static_cast<std::uint64_t>(
       std::max<std::int64_t>(1, (request.tokensOut + options_.stride - 1) / options_.stride));
-  // Events' ids count tokens.
+  // Event ids count tokens.
   run.next = attempt.resumeAfter
                  ? (*attempt.resumeAfter / static_cast<std::uint64_t>(options_.stride)) + 1
                  : 1;
@@ -91,7 +91,8 @@
   return readFree_ - now + options_.firstStep;
 }
 
-/// What is found under the same salt is used as it is, whoever made it and under whatever.
+/// A cached block is used whatever tenant and weights version it comes from, as engines do; misuse
+/// is recorded.
 void BatchEngine::found(const Kept& part, const BatchRun& run) {
   if (part.madeUnder != run.version) ++violations_["stale-memory"];
   bool walled = isolated_.contains(part.tenant) || isolated_.contains(run.tenant.value);
@@ -177,7 +178,7 @@
 
 void BatchEngine::tick(MonotonicTime now) {
   if (!loading() || now < loadEnds_) return;
-  if (running_ > 0) {  // runs end first
+  if (running_ > 0) {  // the load waits for running requests
     loadEnds_ = now;
     return;
   }
--- a/src/sim/batch_engine.h
+++ b/src/sim/batch_engine.h
@@ -1,6 +1,6 @@
 #pragma once
-// A model engine that runs batches, as the simulator plays it for routers: slots, reading speed,
-// memory of kept parts, weights by order, and a record of what went wrong.
+// A simulated engine with continuous batching, for routers: slots, prefill speed, a cache of prefix
+// blocks, load orders for weights, and a record of violations.
 #include <deque>
 #include <list>
 #include <map>
@@ -14,16 +14,16 @@
 
 namespace peppergate {
 
-/// How an engine is made. Example: `BatchOptions{.slots = 16}`.
+/// Capacity, speed and fault rates of an engine.
 struct BatchOptions {
   std::int64_t slots = 32;
   std::int64_t queue = 96;
   std::int64_t kvTokens = 300'000;
-  double tokensPerMs = 150;  // that it reads
+  double tokensPerMs = 150;  // prefill speed
   Duration firstStep = milliseconds(26);
-  Duration step = milliseconds(5);   // of one token, when alone
-  Duration stepEach = Duration{50};  // more for each other request that runs
-  std::int64_t stride = 5;           // tokens in an event
+  Duration step = milliseconds(5);   // time per output token of a single run
+  Duration stepEach = Duration{50};  // additional time per token for each running request
+  std::int64_t stride = 5;           // tokens per stream event
   Duration loadTime = seconds(1.1);
   double linkMbps = 370'000;
   std::int64_t tokenBytes = 18'432;
@@ -32,7 +32,7 @@
   Duration eventsLate = milliseconds(80);
 };
 
-/// One run as the engine has it.
+/// One run of a request on the engine.
 struct BatchRun {
   std::uint64_t number = 0;
   std::string clientId;
@@ -41,60 +41,62 @@
   ModelName model;
   std::vector<PartSize> parts;
   std::int64_t tokensOut = 0;
-  std::uint64_t next = 1;  // the id of its next event
-  std::uint64_t last = 1;  // and of its last one
+  std::uint64_t next = 1;  // index of the next event, from 1
+  std::uint64_t last = 1;  // index of the last event
   bool began = false;
   WeightsVersion version;
 };
 
+/// Whether an engine accepts an attempt, and if not, why.
 enum class BatchVerdict : std::uint8_t { kTaken, kFull, kOtherEngine, kOtherVersion, kLoading };
 
-/// Example: `if (engine.take(run, attempt, now) == BatchVerdict::kTaken) ...`
+/// One engine, or a store of prefix blocks. The caller keeps the time and calls `tick`.
 class BatchEngine {
  public:
   BatchEngine(BatchOptions options, EngineId id, std::uint64_t seed);
 
-  /// Whether an attempt is taken; if not, it has not run. Example: see the class.
+  /// Accepts an attempt and fills `run`, or declines it; a declined attempt has not run.
   BatchVerdict take(const OpenAttempt& attempt, const RequestArrived& request, MonotonicTime now,
                     BatchRun& run);
-  /// How long until the run's first event; the prompt is read, collected or found here.
+  /// The time until the run's first event. Each prefix block is computed, fetched from `source` or
+  /// found in the cache.
   Duration read(const BatchRun& run, BatchEngine* source, double distance, MonotonicTime now);
-  /// How long until the next event. Example: between two events of one run.
+  /// The time between two events of one run.
   Duration pace() const;
-  /// The first event comes: from now on it has run. Example: once per run.
+  /// Called with the first event of a run: from now on the request has run.
   void began(const BatchRun& run, MonotonicTime now);
-  /// A run ended, one way or another. Example: `engine.ended(run)`.
+  /// A run completed, failed or was cancelled.
   void ended(const BatchRun& run);
-  /// Keeps parts, also of a store that is given some. Example: after a read.
+  /// Caches prefix blocks, evicting the least recently used ones; also how a store receives blocks.
   void keep(const std::string& salt, const ModelName& model, std::span<const PartSize> parts,
             WeightsVersion madeUnder, const std::string& tenant, MonotonicTime now);
-  /// Tokens of a prompt's beginning that it keeps. Example: `kept(run.salt, run.parts)`.
+  /// The length in tokens of a prompt's cached prefix.
   std::int64_t kept(const std::string& salt, std::span<const PartSize> parts) const;
   OrderOutcome order(const OrderWeights& order, bool fenced, MonotonicTime now);
-  /// Whether the load under way cuts running requests. Example: after an order.
+  /// Whether the current load aborts running requests.
   bool cuts() const { return loading() && cuts_; }
-  /// Tenants that share no part with others; what they find is checked.
+  /// Sets the tenants that share no prefix block with others; each cache hit is checked.
   void isolate(std::set<std::string> tenants) { isolated_ = std::move(tenants); }
-  /// Links and lost events that change. Example: `engine.options().linkMbps = 100`.
+  /// For faults that change the options during a run.
   BatchOptions& options() { return options_; }
-  /// Lets a load end. Example: each tick.
+  /// Completes a load that is due, once no run is left.
   void tick(MonotonicTime now);
   PartsPolled poll(std::uint64_t since, MonotonicTime now) const;
   PartsListed list(MonotonicTime now) const;
   EngineReport report() const;
   EngineLoad load() const { return {running_, waiting_, options_.slots}; }
-  /// The process starts again with a new id, empty; its version stays. Example: after a crash.
+  /// Restarts the process with a new id and an empty cache; the weights versions stay.
   void restart(EngineId id, std::uint64_t epoch);
-  /// New weights for an engine that starts anew. Example: one that replaces another.
+  /// Sets the weights that an engine starts with.
   void setVersion(const ModelName& model, WeightsVersion version) { models_[model] = version; }
 
   const EngineId& id() const { return id_; }
   const std::map<ModelName, WeightsVersion>& models() const { return models_; }
   bool loading() const { return loadEnds_ != kForever; }
   const BatchOptions& options() const { return options_; }
-  /// Client ids that began here, with how often. Example: none may begin twice in the fleet.
+  /// How often each client id's request began to run here.
   const std::map<std::string, int>& beganIds() const { return beganIds_; }
-  /// What went wrong here, by kind. Example: `violations().at("stale-memory")`.
+  /// Counts of broken rules by kind.
   const std::map<std::string, std::uint64_t>& violations() const { return violations_; }
   std::int64_t tokensRead() const { return tokensRead_; }
   std::int64_t tokensMoved() const { return tokensMoved_; }
@@ -118,8 +120,8 @@
   EngineId id_;
   Random random_;
   std::map<ModelName, WeightsVersion> models_;
-  std::unordered_map<std::string, Kept> parts_;  // by salt, a line end and the part
-  std::list<std::string> byUse_;                 // longest unused first
+  std::unordered_map<std::string, Kept> parts_;  // by salt, line feed and block id
+  std::list<std::string> byUse_;                 // least recently used first
   std::int64_t keptTokens_ = 0, runningTokens_ = 0, running_ = 0, waiting_ = 0;
   MonotonicTime readFree_{}, linkFree_{};
   struct Told {
--- a/src/sim/random_day.cc
+++ b/src/sim/random_day.cc
@@ -12,7 +12,7 @@
 
 constexpr double kFirstFault = 4, kLastFault = 52;
 
-/// Draws one day's schedule. Each draw adds lines between a beginning and an end.
+/// Generates one schedule. Each method adds the lines of a fault from its begin to its end.
 class Drawer {
  public:
   Drawer(std::uint64_t seed, const DaySize& size) : random_(seed * 7919 + 13), size_(size) {}
@@ -32,7 +32,7 @@
     double at;
     std::string words;
   };
-  /// A kind of trouble that may not overlap with others of its kind, and until when it lasts.
+  /// The time spans of a kind of fault that may not overlap others of its kind.
   struct Busy {
     std::vector<std::pair<double, double>> spans;
     bool free(double from, double to) const {
@@ -110,7 +110,7 @@
     std::string core = fixedCore();
     add(at, "disk " + core + " " + std::string(mode));
     add(end, "disk " + core + " good");
-    if (mode != "fail") return;  // a failed sync is mended by a restart
+    if (mode != "fail") return;  // a process recovers from a failed sync only by a restart
     add(end + 0.1, "kill " + core);
     add(end + 0.5, "start all");
   }
@@ -258,7 +258,7 @@
         &Drawer::weights,       &Drawer::withdrawal,      &Drawer::changes,
         &Drawer::walls,         &Drawer::badNetwork};
     (this->*kKinds[random_.below(kKinds.size())])(between(kFirstFault, kLastFault - 12));
-    // Half of the time a change or a withdrawal is under way just then.
+    // Often a configuration change or a key withdrawal is in progress at the same time.
     double near = lines_.empty() ? kFirstFault : lines_.back().at;
     if (random_.below(3) == 0)
       withdrawal(std::clamp(near + between(-0.3, 0.3), kFirstFault, kLastFault));
@@ -288,7 +288,7 @@
   std::vector<Line> lines_;
 };
 
-/// What kind of failure it was, without its numbers.
+/// The kind of a failure, without its times and values.
 std::string kindOf(const std::string& failure) {
   auto end = std::min(failure.find(" at "), failure.find(", got"));
   return failure.substr(0, end);
@@ -304,7 +304,7 @@
 
 std::string RandomDay::text() const {
   std::string text = head;
-  // Traffic goes on for 18 s after the last line, to see the fleet serve again.
+  // Traffic continues for at least 18 s after the last line, to check that the fleet recovers.
   double last = 0;
   for (const auto& line : lines) last = std::max(last, std::strtod(line.c_str() + 3, nullptr));
   text += "run " + std::to_string(static_cast<int>(last) + 19) + "s\n";
@@ -338,7 +338,7 @@
 RandomDay cutDown(const RandomDay& day, const RunReport& report) {
   if (report.failures.empty()) return day;
   std::string kind = kindOf(report.failures.front());
-  constexpr int kMostRuns = 60;  // enough for a first look; a longer cut is made by hand
+  constexpr int kMostRuns = 60;  // bounds the run time; further shrinking is manual
   RandomDay least = day;
   auto fails = [&](const std::vector<std::string>& lines) {
     RandomDay shorter = day;
--- a/src/sim/random_day.h
+++ b/src/sim/random_day.h
@@ -1,5 +1,5 @@
 #pragma once
-// Days that no one wrote down: a seed draws a schedule of the brief's failures.
+// Random schedules: a seed determines which faults the fleet has to survive, and when.
 #include <absl/status/statusor.h>
 
 #include <string>
@@ -9,29 +9,28 @@
 
 namespace peppergate {
 
-/// One drawn day: a head and the lines of its schedule, in order of time.
+/// A random schedule as a scenario file in two parts: the header and the lines in order of time.
 struct RandomDay {
   std::uint64_t seed = 0;
   std::string head;
   std::vector<std::string> lines;
-  /// The day as a scenario file. Example: `parseScenario(day.text())`.
+  /// The schedule as a scenario file.
   std::string text() const;
 };
 
-/// How large and how busy the drawn days are.
+/// The size of the fleet and its load, in requests per second.
 struct DaySize {
   int fronts = 9;
   int engines = 18;
   double requests = 25;
 };
 
-/// Draws a day at today's sizes. It never asks for more than the brief wants survived.
-/// Example: `drawDay(7, DaySize{}).text()`.
+/// Generates a schedule that never has more faults at once than the fleet has to tolerate.
 RandomDay drawDay(std::uint64_t seed, const DaySize& size);
-/// Runs a day. Example: `runDay(day).failures.empty()`.
+/// Runs a schedule under its seed.
 RunReport runDay(const RandomDay& day);
-/// Leaves out what a failing day does not need to fail in the same way.
-/// Example: `cutDown(day, report).text()` is the regression scenario.
+/// Removes lines that a failing schedule doesn't need to fail in the same way; the result serves as
+/// a regression scenario.
 RandomDay cutDown(const RandomDay& day, const RunReport& report);
 
 }  // namespace peppergate
--- a/src/sim/router_attempts.cc
+++ b/src/sim/router_attempts.cc
@@ -1,4 +1,4 @@
-// Attempts of routers at engines: connections, runs, and how answers go wrong.
+// Attempts of routers at engines: connections, runs and faulty responses.
 #include <algorithm>
 
 #include "sim/router_checker.h"
@@ -8,7 +8,7 @@
 namespace peppergate {
 namespace {
 
-constexpr double kGarbled = 0.3;  // of the answers of an engine that garbles
+constexpr double kGarbled = 0.3;  // share of faulty responses of an engine with a response fault
 
 std::shared_ptr<const WireHead> wireHead(int status) {
   auto head = std::make_shared<WireHead>();
@@ -46,7 +46,7 @@
               turned.turn == AttemptTurn::kNotWritten;
   bool local = turned.turn == AttemptTurn::kNotWritten || turned.turn == AttemptTurn::kWritten;
   if (!local && !reachable(run->process->host, run->engine->host)) {
-    run->over = true;  // the connection hangs: nothing more is heard of it
+    run->over = true;  // the connection hangs: the router receives nothing more
     return;
   }
   turned.attempt = run->open.attempt;
@@ -76,7 +76,7 @@
   runs_[{&process, command.attempt.value}] = run;
   allRuns_.push_back(run);
   bool there = reachable(process.host, run->engine->host);
-  bool kept = random_.below(2) == 0;  // an earlier connection is used again
+  bool kept = random_.below(2) == 0;  // an idle connection is reused
   if (!run->engine->alive || ((run->engine->dark || !there) && !kept)) {
     Duration wait = run->engine->alive || !there ? command.connectTimeout : latency();
     after(wait, [this, run] {
@@ -92,13 +92,13 @@
       turn(run, bare(AttemptTurn::kWritten));
       checker_->wrote(*run, *clients_->find(run->open.clientId));
       bool lost = run->engine->dark || !reachable(run->process->host, run->engine->host);
-      if (lost) {  // silence
+      if (lost) {  // no response and no error
         clients_->find(run->open.clientId)->engineBroke = true;
         return;
       }
       after(latency(), [this, run] { arrive(run); });
     };
-    // A frozen process goes on where it was.
+    // A frozen process continues once it thaws.
     if (run->process->frozen) run->process->held.push_back(writes);
     else writes();
   });
@@ -107,7 +107,7 @@
 void RouterWorld::arrive(const RunPointer& run) {
   RouterEngine& engine = *run->engine;
   if (!engine.alive || engine.life != run->engineLife) {
-    // Its connections ended with the process, unless a new life listens at the address by now.
+    // The connection ended with the process, unless a restarted one listens at the address.
     if (!engine.alive || random_.below(2) == 0) return turn(run, bare(AttemptTurn::kBroken));
     run->engineLife = engine.life;
   }
@@ -130,7 +130,7 @@
                            run->run.tenant.value, now());
     });
   }
-  // The engine stops what its caller waits for no longer.
+  // The engine stops a run at its caller's deadline.
   after(run->open.timeLeft, [this, run] {
     if (run->taken) breakOff(run);
   });
@@ -177,7 +177,7 @@
   if (!run->taken) return;
   const std::string& garble = run->engine->garble;
   if (run->garbles && (garble == "lost" || garble == "foreign" || garble == "short"))
-    return breakOff(run);  // the connection's reader sees that it isn't this request's answer
+    return breakOff(run);  // the connection's reader rejects the malformed or foreign response
   if (run->garbles) clients_->find(run->open.clientId)->engineBroke = true;
   if (run->garbles && (garble == "fails" || garble == "busy")) {
     leaveEngine(run);
@@ -210,7 +210,7 @@
     }
     run->engine->model->began(run->run, now());
     turn(run, headOf(run, 200, stamped));
-    // What the router joins to another run begins an event too late.
+    // Fault: a run that the router resumes at another engine skips an event.
     bool joined = run->open.resumeAfter && run->open.resumeAfter != run->asked.resumeAfter;
     if (run->garbles && garble == "skip" && joined) ++run->run.next;
   }
--- a/src/sim/router_checker.cc
+++ b/src/sim/router_checker.cc
@@ -9,14 +9,17 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kConfigBound = seconds(2);   // for machines in touch, from the yes on
-constexpr Duration kBackSlack = seconds(0.25);  // between a newer configuration's use and a request
-constexpr Duration kTakenAfterStop = seconds(3);  // requests sent later have to end in time
-constexpr Duration kReloadBound = seconds(2);     // after a reload, for requests sent by then
-// What a router tells others at one moment stands before its clients' bytes: 40 ms of a link of 10
-// Mbit/s.
+// Longest time from the acknowledgement of a configuration until undisturbed routers use it.
+constexpr Duration kConfigBound = seconds(2);
+// A request sent this soon after a newer configuration was used may still see the older one.
+constexpr Duration kBackSlack = seconds(0.25);
+// Requests sent later than this after a router was told to stop must complete.
+constexpr Duration kTakenAfterStop = seconds(3);
+// Requests sent within this time after a reload must complete.
+constexpr Duration kReloadBound = seconds(2);
+// Bytes sent to other members at one moment delay the bytes for clients: 40 ms on a 10 Mbit/s link.
 constexpr std::uint64_t kLargestBurst = 50'000;
-constexpr Duration kTouch = seconds(6);     // undisturbed for so long
+constexpr Duration kTouch = seconds(6);     // time without a disturbance after which rules apply
 constexpr Duration kSettled = seconds(12);  // after the last fault
 
 std::string at(MonotonicTime time) {
@@ -64,7 +67,8 @@
   while (!tries.empty() && now - tries.front().first >= window * 2) tries.pop_front();
   tries.emplace_back(now, true);
   ++further_;
-  // Requests count in this window, the one half before it or the one before it.
+  // First attempts are counted in the current window, the one half a window earlier and the
+  // previous one; the largest count is the basis.
   std::array<double, 3> firstsIn{};
   double more = 0;
   for (const auto& [time, isFurther] : tries) {
@@ -100,13 +104,13 @@
   if (now - world_.operators().withdrawnAt(request.asked.key) > world_.options().withdrawWithin &&
       world_.operators().withdrawnAt(request.asked.key) != kForever)
     fail("withdrawn", request.asked.key + " at " + run.process->host);
-  // The time doesn't count while the platform's list can't be had.
+  // The limit doesn't run while the platform's list is unavailable.
   MonotonicTime draining = std::max(run.engine->drainingSince, world_.listedSince());
   if (draining != kForever && now - draining > world_.options().drainWithin &&
       world_.inTouch(*run.process, kTouch))
     fail("draining", run.process->host + " to " + run.engine->model->id().value);
-  // The first naming above an engine's version binds it, whenever the engine started. The time runs
-  // while the core is settled.
+  // The first change to a version above the engine's applies to it, whenever the engine started.
+  // The limit runs only while the core machines are undisturbed.
   const Duration within = world_.options().weightsWithin;
   bool calm = now - world_.coreDisturbed() > within + kTouch;
   if (calm && world_.inTouch(*run.process, kTouch) &&
@@ -139,7 +143,7 @@
 }
 
 void RouterChecker::promised(ClientRequest& request, bool passedOn) {
-  // What may be repeated may also be told an engine's own failure as it is.
+  // For repeatable requests a router may forward an engine's own error as it is.
   const ClientRoute& route = kClientRoutes[request.route];
   if (passedOn && (route.kind == RouteKind::kSafe || route.resumable)) return;
   request.refused = true;
@@ -157,7 +161,7 @@
 }
 
 void RouterChecker::ended(const ClientRequest& request) {
-  // Around planned work nothing may be lost that an engine answers in time.
+  // Planned stops and reloads may not lose a request that an engine answers in time.
   MonotonicTime now = world_.now();
   bool reloaded =
       now >= request.router->reloadedAt && request.sent - request.router->reloadedAt < kReloadBound;
@@ -165,7 +169,8 @@
   bool planned = request.router->stopping || reloaded;
   bool calm = request.sent - request.router->disturbed > kTouch &&
               request.sent - world_.coreDisturbed() > kTouch;
-  // At the end of a grace time an engine may still be at work on what came early enough.
+  // At the end of the grace time an engine may still run a request that was sent soon after the
+  // stop began.
   auto run = request.attempt.lock();
   Duration leaving = now - request.router->stoppedAt;
   bool atWork = request.router->stopping && run && run->taken &&
@@ -235,7 +240,7 @@
       met = (value = static_cast<double>(acknowledged)) >= expectation.number;
     else if (expectation.wanted == Wanted::kVersions)
       met = (value = static_cast<double>(orders)) >= expectation.number;
-    else if (expectation.wanted == Wanted::kKept)  // tokens read anew by a run, at most
+    else if (expectation.wanted == Wanted::kKept)  // at most so many prompt tokens computed per run
       met = (value = takes_ > 0 ? static_cast<double>(read) / static_cast<double>(takes_) : 0) <=
             expectation.number;
     if (!met)
--- a/src/sim/router_checker.h
+++ b/src/sim/router_checker.h
@@ -1,5 +1,6 @@
 #pragma once
-// Judges a simulated fleet of routers by what clients, engines and operators saw.
+// Checks the rules of a simulated fleet of routers against what clients, engines and operators
+// observe.
 #include <deque>
 #include <map>
 #include <string>
@@ -11,25 +12,31 @@
 
 struct ClientRequest;
 
-/// Example: `checker.finish(); checker.failures().empty()`.
+/// Receives events of the simulation and records broken rules and unmet expectations.
 class RouterChecker {
  public:
   explicit RouterChecker(RouterWorld& world) : world_(world) {}
-  /// Notes that a rule was broken. Example: `fail("twice", "id 7")`.
+  /// Records that a rule was broken; only the first detail of each rule is kept.
   void fail(const std::string& rule, const std::string& detail);
-  /// A client sent a request: further tries are paid out of those. Example: once each.
+  /// A client sent a request; the retry budget is a share of these.
   void sent(const ClientRequest& request);
+  /// A router wrote an attempt to an engine.
   void wrote(const RouterRun& run, ClientRequest& request);
+  /// An engine accepted an attempt.
   void took(const RouterRun& run, ClientRequest& request);
+  /// A client received a stream event; `before` is the id of the event before it in its run.
   void event(ClientRequest& request, std::uint64_t before, std::uint64_t id,
              const std::string& run);
+  /// A client received a response that was marked complete.
   void whole(ClientRequest& request);
-  /// An answer promised that the request has not run and never will.
+  /// A response implied that the request has not run and never will. `passedOn`: its head came from
+  /// an engine.
   void promised(ClientRequest& request, bool passedOn);
-  /// A proper request was turned away by a 4xx of the routers' own.
+  /// A router rejected a request with a 401, 403 or 404 of its own.
   void denied(const ClientRequest& request);
-  /// An answer ended early, or its connection did.
+  /// A response was truncated, failed with 502, or lost its connection.
   void ended(const ClientRequest& request);
+  /// Checks what can be checked only at the end of the run.
   void finish();
   std::vector<std::string> failures() const;
   const std::vector<std::pair<std::string, double>>& figures() const { return figures_; }
@@ -43,14 +50,15 @@
   void expectations();
   RouterWorld& world_;
   std::map<std::string, Found> found_;
-  std::map<ServiceName, std::deque<std::pair<MonotonicTime, bool>>> tries_;  // further or not
+  // When attempts were made, and whether each is a retry.
+  std::map<ServiceName, std::deque<std::pair<MonotonicTime, bool>>> tries_;
   std::vector<std::string> unmet_;
   std::vector<std::pair<std::string, double>> figures_;
   struct Marker {
     std::uint64_t life = 0, newest = 0;
     MonotonicTime since{};
   };
-  std::map<const RouterProcess*, Marker> markers_;  // the newest configuration that each used
+  std::map<const RouterProcess*, Marker> markers_;  // the newest configuration used
   std::size_t takes_ = 0, further_ = 0;
   std::uint64_t largestBurst_ = 0;
 };
--- a/src/sim/router_clients.cc
+++ b/src/sim/router_clients.cc
@@ -10,9 +10,9 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kLookEvery = seconds(1);     // at routers that are ready
-constexpr Duration kProbeEvery = seconds(0.2);  // with the marker's key
-constexpr Duration kPatience = seconds(1);      // beyond the route's time
+constexpr Duration kLookEvery = seconds(1);     // between refreshes of the ready routers
+constexpr Duration kProbeEvery = seconds(0.2);  // between requests with the marker tenant's key
+constexpr Duration kPatience = seconds(1);      // that a client waits beyond its timeout
 constexpr int kLargestTries = 4;
 constexpr std::array<std::string_view, 5> kTenants{"first", "second", "third", "walled1",
                                                    "walled2"};
@@ -26,11 +26,11 @@
 RouterClients::RouterClients(RouterWorld& world) : world_(world) {}
 
 RouterProcess* RouterClients::chooseRouter(bool sticky) {
-  // Some clients keep their connection to a router that is not ready any more.
+  // Some clients keep their connection to a router that is no longer ready.
   std::vector<RouterProcess*> routers;
   for (auto& process : world_.processes()) {
     bool ready = sticky || std::ranges::find(ready_, process.get()) != ready_.end();
-    // Such a connection may bring a request to a router that takes no new connections any more.
+    // A kept connection reaches a router that accepts no new connections.
     bool open = process->alive && (sticky || !world_.closed(*process));
     if (process->role == Role::kFront && open && ready) routers.push_back(process.get());
   }
@@ -62,7 +62,7 @@
   }
   for (auto entry = requests_.begin(); entry != requests_.end() && entry->second.giveUp <= now;
        ++entry) {
-    // Ordered by id and so by time; those that are over are cheap to pass.
+    // Requests are ordered by id and so by time.
     ClientRequest& request = entry->second;
     if (request.over) continue;
     bool excused = !request.router->alive || request.router->frozen ||
@@ -87,7 +87,7 @@
     point -= kClientRoutes[wish.route].share;
   if (key == "key-mark" && kClientRoutes[wish.route].open) wish.route = 0;
   wish.model = {random.below(3) == 0 ? "brief" : "deep"};
-  // A few documents are asked about much more often than most.
+  // Skewed popularity: a few documents appear in most prompts.
   auto document = static_cast<std::uint64_t>(std::pow(60.0, random.fraction()));
   wish.parts = {{"common", 800},
                 {"document-" + std::to_string(document),
@@ -140,7 +140,7 @@
     sent.arrived = true;
     world_.deliver(*sent.router, sent.asked);
     bool slow = kClientRoutes[sent.route].kind == RouteKind::kStream && id % 40 == 0;
-    for (bool begins : {true, false})  // it reads slowly for a while
+    for (bool begins : {true, false})  // a slow reader: backpressure begins, then ends
       if (slow)
         world_.after(milliseconds(begins ? 150 : 1200), [this, id, begins] {
           ClientRequest& reader = requests_.at(id);
--- a/src/sim/router_clients.h
+++ b/src/sim/router_clients.h
@@ -1,5 +1,5 @@
 #pragma once
-// Clients of a simulated fleet of routers: what they ask for, and what they see of the answers.
+// Clients of a simulated fleet of routers: they send requests, retry them and check the responses.
 #include <map>
 #include <string>
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace peppergate {
 
-/// What a client wants; it may take several requests.
+/// One operation of a client; it may take several requests.
 struct ClientWish {
   MonotonicTime at, until;
   std::size_t route = 0;  // in kClientRoutes
@@ -18,10 +18,10 @@
   std::int64_t tokensOut = 0;
   int tries = 0;
   bool served = false, counts = true;
-  std::optional<std::uint64_t> has;  // the last event of a cut stream
+  std::optional<std::uint64_t> has;  // id of the last event of a truncated stream
 };
 
-/// One request of a client, with what became of it.
+/// One request of a client and its outcome.
 struct ClientRequest {
   RequestArrived asked;
   std::size_t wish = 0, route = 0;
@@ -29,16 +29,17 @@
   std::uint64_t routerLife = 0;
   MonotonicTime sent, giveUp;
   bool arrived = false, over = false;
-  int status = 0;        // as the client saw it; 0: none yet
-  bool refused = false;  // by a promise that it has not run
-  std::string body;      // of one that is no stream
-  std::string lastRun;   // whose events came last
+  int status = 0;        // the response's status; 0: none yet
+  bool refused = false;  // the response implied that the request has not run
+  std::string body;      // of a response that is no stream
+  std::string lastRun;   // the engine's run that the last event came from
   std::uint64_t lastEvent = 0;
-  int takes = 0, writes = 0;         // by engines, by routers
-  bool engineBroke = false;          // an engine's end was the reason of its own
+  int takes = 0, writes = 0;         // accepted by engines, written by routers
+  bool engineBroke = false;          // the last attempt failed because of its engine
   std::weak_ptr<RouterRun> attempt;  // the last one
 };
 
+/// A route that clients use; `open`: without a key, `share`: of the traffic.
 struct ClientRoute {
   std::string_view name, prefix;
   RouteKind kind;
@@ -54,20 +55,21 @@
 }};
 inline constexpr Duration kClientTimeout = seconds(8);
 
-/// Example: `clients.tick()` each 10 ms; then what routers command for clients.
+/// All clients. `tick` is called every 10 ms; the other calls pass on responses of routers.
 class RouterClients {
  public:
   explicit RouterClients(RouterWorld& world);
   void tick();
-  /// The share of wishes served that began within a time. Example: `served(from, to)`.
+  /// The share of operations begun in [from, to) that were served in time; 1 if there were none.
   double served(MonotonicTime from, MonotonicTime to) const;
+  /// Multiplies the scenario's request rate.
   void traffic(double factor) { factor_ = factor; }
-  /// A router's process ended, and its clients' connections with it.
+  /// A router's process ended, which closes its clients' connections.
   void lost(const RouterProcess& process);
   ClientRequest* find(const std::string& clientId);
   const std::map<std::uint64_t, ClientRequest>& requests() const { return requests_; }
 
-  // Commands of routers.
+  // Responses of routers.
   void head(const AnswerHead& command);
   void body(const AnswerBody& command);
   void done(const AnswerDone& command);
--- a/src/sim/router_commands.cc
+++ b/src/sim/router_commands.cc
@@ -1,4 +1,4 @@
-// Runs the machines' commands: messages, files, calls to the platform and to engines.
+// Runs the commands of processes: messages, files, calls to the platform and to engines.
 #include <algorithm>
 
 #include "sim/router_checker.h"
@@ -10,10 +10,10 @@
 
 namespace {
 constexpr std::size_t kPageSize = 4;         // engines on a page of the platform's list
-constexpr Duration kListLag = seconds(0.6);  // the list is as old
+constexpr Duration kListLag = seconds(0.6);  // the platform returns a list of this age
 }  // namespace
 
-/// Gives each command to the part of the world that carries it out.
+/// Dispatches each command to the part of the simulation that runs it.
 struct RouterCommandRunner {
   RouterWorld& world;
   RouterProcess& process;
@@ -68,7 +68,7 @@
   void operator()(const RefuseRequest& command) const { world.clients().refused(command); }
   void operator()(const AnswerWeb& command) const { world.operators().answered(command); }
   void operator()(const NoteState& command) const { world.noteState(process, command); }
-  /// What only fronts of the product's own interface do has no place in this world.
+  /// Other commands belong to fronts of the streams interface; a fleet of routers has none.
   template <class Other>
   void operator()(const Other&) const {
     world.checker().fail("unknown-command", process.host);
@@ -121,7 +121,7 @@
     entry.models = engine->model->models();
     list.push_back(std::move(entry));
   }
-  // Kept as it was over time, so that readers get it as old as the platform's list is.
+  // Past lists are kept so that readers get one of the age of the platform's list.
   if (lists_.empty() || lists_.back().second != list) lists_.emplace_back(now(), std::move(list));
   while (lists_.size() > 1 && lists_[1].first + kListLag <= now()) {
     lists_.pop_front();
--- a/src/sim/router_days.cc
+++ b/src/sim/router_days.cc
@@ -1,4 +1,4 @@
-// Days drawn from a seed: two or three troubles at once, over a busy fleet.
+// Generates random router scenarios from a seed: two or three faults at once in a busy fleet.
 #include <algorithm>
 #include <utility>
 
@@ -36,7 +36,7 @@
       draw.add(at, Verb::kKill, {"core", core});
       draw.add(at + length, Verb::kStart, {"core", core});
       break;
-    case 2:  // one lost disk a day: two at once may be too many for the fleet
+    case 2:  // one lost disk per scenario: two at once may be more than the fleet tolerates
       if (std::exchange(draw.replaced, true)) draw.add(at, Verb::kStop, {"core", core});
       else draw.add(at, Verb::kReplace, {"core", core});
       draw.add(at + 9, Verb::kStart, {"core", core});
@@ -157,7 +157,7 @@
     deed(draw, at + 3 * draw.random.fraction());
   }
   std::ranges::stable_sort(day.actions, {}, &Action::at);
-  // All is whole again at the end.
+  // All faults end before the last checks.
   MonotonicTime last = day.actions.back().at + seconds(0.5);
   day.actions.push_back({last, Verb::kHeal, {}, 0});
   day.actions.push_back({last, Verb::kThaw, {"all"}, 0});
--- a/src/sim/router_faults.cc
+++ b/src/sim/router_faults.cc
@@ -1,4 +1,4 @@
-// The faults and operators' deeds of router scenarios, carried out.
+// Applies the faults and operators' actions of router scenarios.
 #include <algorithm>
 #include <cstdlib>
 
@@ -10,8 +10,8 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kGrace = seconds(8);        // a leaving engine's, from its draining on
-constexpr Duration kCrashListed = seconds(3);  // so long a crashed one stays on the list
+constexpr Duration kGrace = seconds(8);        // from an engine's draining until it is stopped
+constexpr Duration kCrashListed = seconds(3);  // how long a crashed engine stays listed
 
 int numberOf(const std::string& word) { return std::atoi(word.c_str()); }
 
@@ -30,7 +30,7 @@
     gone.push_back(entry->second);
     entry = runs_.erase(entry);
   }
-  // Engines see their connections end.
+  // Engines notice the closed connections one network delay later.
   for (auto& run : gone) {
     run->over = true;
     after(latency(), [this, run] { leaveEngine(run); });
--- a/src/sim/router_operators.cc
+++ b/src/sim/router_operators.cc
@@ -40,7 +40,8 @@
   return changes_.emplace_back(std::move(change));
 }
 
-/// Engines see by the marker's tenant under which configuration a request was sent.
+/// Writes the version into the name of the marker tenant, which tells an engine under which
+/// configuration a request was sent.
 void RouterOperators::mark(Json& document, OperatorChange& change) {
   change.marker = change.version;
   document["version"] = change.version;
@@ -100,7 +101,7 @@
   for (int racer = 0; racer < (intent.kind == "race" ? 2 : 1); ++racer) {
     OperatorChange& change = add(intent.kind);
     change.becomes = document_;
-    change.version += 6 * static_cast<std::uint64_t>(racer);  // no two send the very same
+    change.version += 6 * static_cast<std::uint64_t>(racer);  // racing changes differ
     mark(change.becomes, change);
     change.body["kind"] = "replace";
     change.body["config"] = change.becomes;
@@ -119,7 +120,7 @@
 }
 
 void RouterOperators::sendChange(OperatorChange& change) {
-  change.nextTry = world_.now() + seconds(7);  // answers come within 6 s
+  change.nextTry = world_.now() + seconds(7);  // an answer comes within 6 s
   if (++change.tries > kLargestTries) {
     change.outcome = "no-answer";
     return;
@@ -156,7 +157,7 @@
   }
   if (outcome != "done") {
     bool loser = change.kind == "race" && outcome == "stale";
-    // Somebody else's change came between only in a race.
+    // Only in a race may another change come first.
     if (!loser) world_.checker().fail("change-refused", change.id + " " + answer.body);
     return;
   }
--- a/src/sim/router_operators.h
+++ b/src/sim/router_operators.h
@@ -1,5 +1,6 @@
 #pragma once
-// The operators of a simulated fleet of routers: configurations, model versions, withdrawn keys.
+// The operators of a simulated fleet of routers: they change the configuration and model versions
+// and withdraw keys.
 #include <deque>
 #include <map>
 #include <string>
@@ -9,11 +10,11 @@
 
 namespace peppergate {
 
-/// A change that an operator sends, again and again under one id until it is answered.
+/// A change that an operator sends; it is retried under the same id until it is answered.
 struct OperatorChange {
-  std::string id, kind, key;  // key: that it withdraws
+  std::string id, kind, key;  // key: the one that the change withdraws
   Json body;
-  Json becomes;  // the document if it is done
+  Json becomes;  // the configuration once the change is applied
   std::uint64_t base = 0, version = 0, marker = 0;
   ModelName model;
   MonotonicTime begun{}, nextTry{};
@@ -23,23 +24,26 @@
   MonotonicTime done = kForever;
 };
 
-/// Example: `operators.amend(); operators.tick();`
+/// Queues changes and sends them one after the other, racing ones together.
 class RouterOperators {
  public:
   explicit RouterOperators(RouterWorld& world);
   void tick();
   void answered(const AnswerWeb& answer);
-  void amend();                                // a small change of no consequence
-  void swap();                                 // the whole configuration anew
-  void race();                                 // two whole ones on one base
-  void invalid();                              // one that has to be refused
-  void nameVersion(const std::string& model);  // new weights
-  void withdraw(const std::string& tenant);    // its first key is a key no more
+  void amend();                                // an amendment that only moves the marker
+  void swap();                                 // replaces the whole configuration
+  void race();                                 // two replacements based on the same version
+  void invalid();                              // a configuration that must be rejected
+  void nameVersion(const std::string& model);  // the next weights version of a model
+  void withdraw(const std::string& tenant);    // withdraws the tenant's first key
   const std::vector<OperatorChange>& changes() const { return changes_; }
-  /// The version whose configuration the marker's key belonged to. Example: `markerAcked()`.
+  /// The newest configuration version acknowledged by a time.
   std::uint64_t ackedBefore(MonotonicTime time) const;
+  /// When a key's withdrawal was acknowledged; kForever if it wasn't.
   MonotonicTime withdrawnAt(const std::string& key) const;
+  /// The newest weights version of a model acknowledged by a time.
   WeightsVersion namedBefore(const ModelName& model, MonotonicTime time) const;
+  /// The version of the newest acknowledged configuration.
   std::uint64_t acked() const { return version_; }
 
  private:
--- a/src/sim/router_scenario.h
+++ b/src/sim/router_scenario.h
@@ -1,5 +1,5 @@
 #pragma once
-// Scenarios of fleets of routers: small text files like those of `sim/scenario.h`, and drawn days.
+// Scenarios of fleets of routers: small text files like those of `sim/scenario.h`, and random ones.
 #include <absl/status/statusor.h>
 
 #include <string>
@@ -11,25 +11,25 @@
 
 namespace peppergate {
 
-/// A scenario of the platform's interface; its fronts are routers.
+/// A scenario of a platform deployment; its fronts are routers.
 struct RouterScenario : FleetScenario {
   RouterScenario() {
     cores = 3;
     requests = 40;
     run = seconds(30);
   }
-  bool fenced = true;  // engines decline orders with a lower fence
-  double eventsLost = 0.02;
-  /// As a file: a drawn day that failed is kept so.
+  bool fenced = true;        // engines decline load orders with a lower fencing token
+  double eventsLost = 0.02;  // share of the engines' cache events that are lost
+  /// The scenario as a file, in which form a failing random scenario is kept.
   std::string text() const;
 };
 
-/// Reads a scenario; an error names its line. Example: `parseRouterScenario(text)->name`.
+/// Reads a scenario; an error names its line.
 absl::StatusOr<RouterScenario> parseRouterScenario(std::string_view text);
-/// A day with two or three troubles at once. Example: `drawRouterDay(7).actions.size() >= 2`.
+/// Generates a random scenario with two or three faults at once.
 RouterScenario drawRouterDay(std::uint64_t seed);
 
-/// What one scenario did under one seed.
+/// The result of one scenario under one seed.
 struct RouterReport {
   std::string scenario;
   std::uint64_t seed = 0;
@@ -37,7 +37,7 @@
   std::vector<std::pair<std::string, double>> figures;
 };
 
-/// Runs one seed; the same seed replays exactly. Example: `runRouters(scenario, 7).failures`.
+/// Runs a scenario under a seed; the same seed replays exactly.
 RouterReport runRouters(const RouterScenario& scenario, std::uint64_t seed);
 
 }  // namespace peppergate
--- a/src/sim/router_world.cc
+++ b/src/sim/router_world.cc
@@ -1,4 +1,4 @@
-// The simulated fleet of routers: its parts, its clock, its network.
+// Builds the simulated fleet of routers and runs its ticks.
 #include "sim/router_world.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr Duration kTick = milliseconds(50);
 constexpr Duration kClientTick = milliseconds(10);
-constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and settling
+constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and recovery
 
 Zone zoneOf(int number) { return {"zone" + std::to_string(number % 3 + 1)}; }
 
@@ -20,7 +20,7 @@
 
 RouterWorld::RouterWorld(const RouterScenario& scenario, std::uint64_t seed)
     : SimCluster(seed, MonotonicTime{} - kRouterWarmUp), scenario_(scenario) {
-  options_.budgetSlack = 0;  // the share alone has to hold
+  options_.budgetSlack = 0;  // the checker tests the share alone
   for (const auto& [name, value] : scenario_.options) (void)setOption(options_, name, value);
   options_.guardsOff = scenario_.guardsOff;
   for (int number = 1; number <= scenario_.cores + scenario_.spares; ++number)
@@ -129,7 +129,7 @@
 }
 
 bool RouterWorld::hasEnded(const SimProcess& process) const {
-  // A router's process goes after its last open request, as the daemon does; a core's at once.
+  // A router's process ends after its last open request, as the daemon does; a core's at once.
   bool drained = process.node->drained(process.local(now()));
   return drained && (process.role != Role::kFront || process.router().live() == 0);
 }
--- a/src/sim/router_world.h
+++ b/src/sim/router_world.h
@@ -1,6 +1,6 @@
 #pragma once
-// A simulated fleet of routers: time, network, disks, engines, the platform's list, operators and
-// clients around the real machines.
+// A simulated fleet of routers. Time, network, disks, engines, the platform's list, operators and
+// clients are simulated; the nodes run the production code.
 #include <deque>
 #include <functional>
 #include <map>
@@ -14,10 +14,10 @@
 
 namespace peppergate {
 
-/// A process of this world: a router or a core machine's daemon.
+/// The daemon of a router or of a core machine.
 using RouterProcess = SimProcess;
 
-/// An engine's or the store's process with its troubles.
+/// The process of an engine or of the store, with its injected faults.
 struct RouterEngine {
   std::string host;
   Address address;
@@ -26,11 +26,11 @@
   Zone zone;
   std::unique_ptr<BatchEngine> model;
   bool alive = true, listed = true, draining = false, dark = false, store = false;
-  std::string garble;  // how its answers go wrong; empty: they don't
+  std::string garble;  // fault of its responses, as the scenario names it; empty: none
   double slow = 1;
   std::uint64_t life = 1;
-  MonotonicTime drainingSince = kForever;  // as the list's readers could see it
-  MonotonicTime since{};                   // of this life
+  MonotonicTime drainingSince = kForever;  // when readers of the list could first see it
+  MonotonicTime since{};                   // when it last started
 };
 
 /// One attempt of a router at an engine.
@@ -42,26 +42,26 @@
   RouterEngine* engine = nullptr;
   std::uint64_t engineLife = 0;
   BatchRun run;
-  bool taken = false;  // by the engine, which has not ended it yet
+  bool taken = false;  // the engine accepted it and has not ended it yet
   bool over = false;   // nothing more reaches the router
   bool garbles = false;
   int events = 0;
-  MonotonicTime lastTurn{};  // its turns keep their order
+  MonotonicTime lastTurn{};  // when the last event arrives; later ones keep the order
   bool paused = false;
-  std::vector<AttemptTurned> waiting;  // what came while it was paused
+  std::vector<AttemptTurned> waiting;  // events held back while it is paused
 };
 
 class RouterClients;
 class RouterChecker;
 class RouterOperators;
 
-/// A simulated fleet of routers.
+/// The fleet under one scenario and one seed.
 class RouterWorld : public SimCluster {
  public:
   RouterWorld(const RouterScenario& scenario, std::uint64_t seed);
   ~RouterWorld() override;
 
-  /// Runs warm-up, traffic, faults and the end.
+  /// Runs the warm-up, traffic and faults, and the checks at the end.
   void run();
   const RouterScenario& scenario() const { return scenario_; }
   const Options& options() const { return options_; }
@@ -70,20 +70,21 @@
   RouterOperators& operators() { return *operators_; }
   std::vector<std::unique_ptr<RouterEngine>>& engines() { return engines_; }
 
-  /// The fleet's first configuration.
+  /// The configuration that operators send first.
   Json firstConfig() const;
-  /// Whether a process, and the core machines, were left alone for so long.
+  /// Whether a process is connected to the leader, and neither it nor the core machines were
+  /// disturbed for longer than `since`.
   bool inTouch(const RouterProcess& process, Duration since);
-  /// Whether a router that was told to leave takes no new connections any more.
+  /// Whether a router that was told to stop accepts no new connections any more.
   bool closed(const RouterProcess& process) const;
-  /// Since when the platform's list can be had; never while it can't.
+  /// Since when the platform's list is available; kForever while it isn't.
   MonotonicTime listedSince() const { return listDown_ ? kForever : listedSince_; }
 
  private:
   friend struct RouterCommandRunner;
   using RunPointer = std::shared_ptr<RouterRun>;
   void tickAll();
-  // Of the cluster.
+  // Implementation of the cluster's interface.
   std::string frontWord() const override { return "router"; }
   std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
                                  const DiskFound& found, const Bootstrap& bootstrap) override;
@@ -112,7 +113,7 @@
   void turn(const RunPointer& run, AttemptTurned turned);
   AttemptTurned headOf(const RunPointer& run, int status, bool success) const;
   void endRuns(const std::function<bool(const RouterRun&)>& which);
-  // Engines and their list, in router_engines.cc.
+  // Engines and their list.
   RouterEngine* engineAt(const Address& address);
   void noteList();
   void reborn(RouterEngine& engine);
@@ -131,7 +132,7 @@
   std::vector<std::unique_ptr<RouterEngine>> engines_;  // the store last
   bool listDown_ = false;
   MonotonicTime listedSince_{};
-  std::deque<std::pair<MonotonicTime, std::vector<Engine>>> lists_;  // what the platform had when
+  std::deque<std::pair<MonotonicTime, std::vector<Engine>>> lists_;  // past lists of the platform
   std::deque<MonotonicTime> listCalls_;
   std::map<std::pair<const RouterProcess*, std::uint64_t>, RunPointer> runs_;  // by attempt
   std::vector<std::weak_ptr<RouterRun>> allRuns_;
@@ -140,7 +141,7 @@
   std::unique_ptr<RouterOperators> operators_;
 };
 
-/// Simulated time begins so long before the traffic.
+/// How long before the traffic simulated time begins.
 inline constexpr Duration kRouterWarmUp = seconds(8);
 
 }  // namespace peppergate
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -1,6 +1,6 @@
 #pragma once
-// Scenarios of fleets of fronts: small text files with a fleet, faults at times, and what is
-// expected.
+// Scenarios of fleets of fronts: small text files that describe a fleet, timed faults and
+// expectations.
 #include <absl/status/statusor.h>
 
 #include <string>
@@ -10,20 +10,20 @@
 
 namespace peppergate {
 
-/// Where simulated time begins, so that traffic starts at 0.
+/// When simulated time begins; traffic starts at 0.
 inline constexpr MonotonicTime kWarmUp{-9'000'000};
 
-/// A scenario of the product's own interface.
+/// A scenario of the streams interface.
 struct Scenario : FleetScenario {
   std::string profile = "hutline";
-  bool foundedBySeeds = false;  // else one core is told how many there are
+  bool foundedBySeeds = false;  // otherwise one core creates the fleet and is given its size
   int racks = 2;
   std::uint64_t documents = 4;  // of each tenant
-  std::size_t cache = 24;       // parts that an engine keeps
-  double late = 1.0 / 300;      // share of messages that come late, by up to 2.5 s
-  double link = 60;             // megabytes a second of each engine's link
-  double uplink = 150;          // of each rack
-  std::uint64_t pieces = 15;    // most pieces of a stream
+  std::size_t cache = 24;       // prefix blocks that an engine caches
+  double late = 1.0 / 300;      // share of messages that are delayed, by up to 2.5 s
+  double link = 60;             // bandwidth of each engine's link, in MB/s
+  double uplink = 150;          // bandwidth of each rack's uplink, in MB/s
+  std::uint64_t pieces = 15;    // largest number of pieces of a stream
   double deadline = 10;         // longest deadline of a stream, in seconds
 };
 
--- a/src/sim/scenario_reader.cc
+++ b/src/sim/scenario_reader.cc
@@ -40,7 +40,7 @@
   return row == kTargets.end() ? '?' : row->kind;
 }
 
-/// Reads the lines of one file.
+/// Parses the lines of one file.
 class Reader {
  public:
   Reader(const ScenarioDialect& dialect, FleetScenario& scenario)
@@ -75,7 +75,7 @@
     Duration at;
     if (words.size() < 3 || !readTime(words[1], at)) return wrong("'at' needs a time and a verb");
     action.at = MonotonicTime{} + at;
-    if (action.at < dialect_.earliest) return wrong("before the warm-up");
+    if (action.at < dialect_.earliest) return wrong("action before the warm-up");
     auto rows = verbsOf(dialect_.interface);
     auto row = std::ranges::find(rows, words[2], &VerbRow::word);
     if (row == rows.end()) return wrong("unknown verb '" + words[2] + "'");
@@ -121,14 +121,14 @@
     for (; at + 1 < words.size(); at += 2) {
       Duration time;
       if (!readTime(words[at + 1], time) || time < Duration{})
-        return wrong("'" + words[at + 1] + "' is no time");
+        return wrong("'" + words[at + 1] + "' is not a time");
       if (words[at] == "from") expectation.from = MonotonicTime{} + time;
       else if (words[at] == "to" || words[at] == "at") expectation.to = MonotonicTime{} + time;
       else return wrong("unknown word '" + words[at] + "'");
     }
     if (at < words.size()) return wrong("unknown word '" + words[at] + "'");
     if (expectation.to != kForever && expectation.to < expectation.from)
-      return wrong("ends before it begins");
+      return wrong("expectation ends before it begins");
     scenario_.expectations.push_back(expectation);
     return absl::OkStatus();
   }
@@ -155,7 +155,7 @@
     if (words[0] == "run" || words[0] == "start-spread") {
       Duration& time = words[0] == "run" ? scenario_.run : scenario_.startSpread;
       if (readTime(words[1], time) && time >= Duration{}) return absl::OkStatus();
-      return wrong("'" + words[1] + "' is no time");
+      return wrong("'" + words[1] + "' is not a time");
     }
     if (dialect_.head(words[0], words[1])) return absl::OkStatus();
     return readNumberOf(words);
@@ -179,15 +179,15 @@
   absl::Status judgeWhole() {
     if (scenario_.name.empty()) return scenarioError(0, "a scenario needs a name");
     if (scenario_.expectations.empty())
-      return scenarioError(0, "a scenario without expectation proves nothing");
+      return scenarioError(0, "a scenario needs at least one expectation");
     if (scenario_.fronts < 1 || scenario_.cores < 1 || scenario_.engines < 1)
       return scenarioError(
           0, "a fleet needs " + std::string(dialect_.frontsWord) + ", cores and engines");
     if (scenario_.actions.empty()) return absl::OkStatus();
-    // Traffic goes on long enough after the last fault to see the fleet serve again.
+    // Traffic continues long enough after the last fault to check that the fleet recovers.
     Duration last = scenario_.actions.back().at - MonotonicTime{};
     if (dialect_.endsActions && last > scenario_.run)
-      return scenarioError(scenario_.actions.back().line, "after the end of the run");
+      return scenarioError(scenario_.actions.back().line, "action after the end of the run");
     scenario_.run = std::max(scenario_.run, last + dialect_.settling);
     return absl::OkStatus();
   }
@@ -217,13 +217,13 @@
 
 bool readTime(std::string text, Duration& time) {
   double number = 0;
-  bool before = text.starts_with("-");  // before traffic begins
+  bool before = text.starts_with("-");  // before the traffic begins
   if (before) text.erase(0, 1);
   if (text.size() < 2 || !text.ends_with("s")) return false;
   bool milli = text.ends_with("ms");
   text.resize(text.size() - (milli ? 2 : 1));
   if (!readNumber(text, number) || number < 0) return false;
-  // Rounded: what is written from microseconds is read back as the same.
+  // Rounded, so that a time written from microseconds is read back unchanged.
   time = Duration{std::llround(number * (milli ? 1e3 : 1e6) * (before ? -1 : 1))};
   return true;
 }
--- a/src/sim/scenario_reader.h
+++ b/src/sim/scenario_reader.h
@@ -1,5 +1,5 @@
 #pragma once
-// Reads scenario files of both interfaces: what a fleet has, faults and deeds at times,
+// Reads scenario files of both interfaces: the fleet, timed faults and operators' actions, and
 // expectations.
 #include <absl/status/statusor.h>
 
@@ -26,50 +26,50 @@
 struct Expectation {
   Wanted wanted = Wanted::kClean;
   double number = 0;
-  std::string word;  // a second one, where the first takes one
+  std::string word;  // the second word, of expectations that take one
   MonotonicTime from{}, to = kForever;
   int line = 0;
 };
 
-/// What a scenario of either interface has.
+/// What scenarios of both interfaces have in common.
 struct FleetScenario {
   std::string name;
   int fronts = 4;  // or routers
   int cores = 4;
-  int spares = 0;  // core machines that are off at first
+  int spares = 0;  // core machines that aren't started at first
   int engines = 6;
-  double requests = 30;    // a second
-  double settles = 0.9;    // served from 12 s after the last fault on; 0: not looked at
+  double requests = 30;    // per second
+  double settles = 0.9;    // share to be served from 12 s after the last fault on; 0: not checked
   Duration startSpread{};  // machines first start within this time of each other, in any order
   Duration run = seconds(40);
   std::vector<std::pair<std::string, std::string>> options;
-  std::uint32_t guardsOff = 0;  // "without GUARD", to show that it is needed
+  std::uint32_t guardsOff = 0;  // bit set of "without GUARD" lines, to show that each is needed
   std::vector<Action> actions;
   std::vector<Expectation> expectations;
 };
 
-/// How one interface's scenarios are read.
+/// How scenarios of one interface are read.
 struct ScenarioDialect {
   Interface interface = Interface::kStreams;
   std::string_view frontsWord;  // "fronts" or "routers"
-  MonotonicTime earliest;       // no action comes before
-  Duration settling;            // traffic goes on so long after the last action
-  bool endsActions = false;     // no action may come after the end of the run as it is written
-  /// Takes a head line of two words that only this interface has; false if it hasn't.
+  MonotonicTime earliest;       // earliest time of an action
+  Duration settling;            // how long traffic continues after the last action
+  bool endsActions = false;     // whether an action after the written end of the run is an error
+  /// Reads a header line of two words that only this interface has; false if it has no such line.
   std::function<bool(const std::string& word, const std::string& value)> head;
 };
 
 /// Reads a text into `scenario`, which holds the interface's defaults. An error names its line.
 absl::Status readScenario(std::string_view text, const ScenarioDialect& dialect,
                           FleetScenario& scenario);
-/// The lines of actions and expectations as they are written in a file.
+/// Formats the actions and expectations as lines of a scenario file.
 std::string linesOf(const FleetScenario& scenario, Interface interface);
 
-/// An error of a line; line 0 is the whole file.
+/// An error in a line; line 0 stands for the whole file.
 absl::Status scenarioError(int line, const std::string& what);
-/// Reads a number that fills the text.
+/// Reads a number; the whole text must be one.
 bool readNumber(const std::string& text, double& number);
-/// Reads "12s", "300ms" or, before the traffic, "-2s".
+/// Reads a time such as "12s", "300ms" or, before the traffic begins, "-2s".
 bool readTime(std::string text, Duration& time);
 
 }  // namespace peppergate
--- a/src/sim/scenario_words.h
+++ b/src/sim/scenario_words.h
@@ -1,5 +1,5 @@
 #pragma once
-// The words of scenario files, of both interfaces: verbs of actions, and what can be expected.
+// The vocabulary of scenario files of both interfaces: verbs of actions and kinds of expectations.
 #include <cstddef>
 #include <cstdint>
 #include <span>
@@ -7,7 +7,7 @@
 
 namespace peppergate {
 
-/// Which kind of deployment a scenario is about: fronts of the product's own interface, or routers.
+/// The kind of deployment of a scenario: fronts of the streams interface, or routers.
 enum class Interface : std::uint8_t { kStreams, kRouters };
 
 /// What an action does.
@@ -72,17 +72,17 @@
   kList,
 };
 
-/// One verb as it is written.
+/// A verb and the words that it takes.
 struct VerbRow {
   std::string_view word;
   Verb verb;
   std::size_t least, most;  // words after it
-  /// What its first word may name, each a letter: c core, f front or router, e engine, s store, p a
-  /// role such as primary, a a group such as all. Empty: not looked at.
+  /// What its first word may name, one letter each: c core, f front or router, e engine, s store,
+  /// p a role such as primary, a a group such as all. Empty: not checked.
   std::string_view targets;
 };
 
-/// What an expectation is about.
+/// What an expectation checks.
 enum class Wanted : std::uint8_t {
   kClean,
   kServed,
@@ -114,18 +114,18 @@
   kKept,
 };
 
-/// One expectation as it is written.
+/// A kind of expectation and the word for it.
 struct WantedRow {
   std::string_view word;
   Wanted wanted;
   bool number;  // a number follows
 };
 
-/// The verbs of one interface; those of machines and the network are the same in both.
+/// The verbs of one interface, including those of machines and the network, which both have.
 std::span<const VerbRow> verbsOf(Interface interface);
 /// The expectations of one interface.
 std::span<const WantedRow> wantedOf(Interface interface);
-/// The verb as both interfaces, or the one that has it, write it.
+/// The word for a verb or an expectation in one interface's scenarios; empty if it has none.
 std::string_view wordOf(Verb verb, Interface interface);
 std::string_view wordOf(Wanted wanted, Interface interface);
 
--- a/src/sim/schedule_drawer.cc
+++ b/src/sim/schedule_drawer.cc
@@ -6,10 +6,11 @@
 namespace peppergate {
 namespace {
 
-/// So long a machine counts as lost once it is back, as deployments tell it in `catchup_s`.
+/// How long, in seconds, a machine that is back still counts as lost while it catches up; the
+/// `catchup_s` of deployments.
 constexpr double kCatchUp = 4;
-/// A machine's boot clock may be off by 1 %, and steps take their time: a second loss "right after"
-/// comes so much later than the moment when it is allowed.
+/// How long, in seconds, after the earliest allowed time a second loss comes: a machine's boot
+/// clock may be off by 1 %, and recovery steps take time.
 constexpr double kRightAfter = 0.05;
 
 std::string timeWord(double seconds) {
@@ -54,7 +55,7 @@
 }
 
 void ScheduleDrawer::startCores(double from) {
-  // Machines come back in any order, not all at the same instant.
+  // Machines come back in random order and at different times.
   for (int number = 1; number <= size_.cores; ++number)
     add(from + between(0, 0.3), "start core " + std::to_string(number));
   add(from + 0.31, "start all");
@@ -164,7 +165,8 @@
 }
 
 void ScheduleDrawer::coreReplacedAsPlanned(double at) {
-  // The new one first; it counts as lost until it has caught up, and so does the one that leaves.
+  // The new machine joins before the old one leaves. It counts as lost until it has caught up, and
+  // so does the one that leaves.
   if (sparesUsed_ >= size_.spares) return;
   double leaves = at + between(0.5, 5);
   if (!ledger_.lose(1, at, leaves + 3)) return;
@@ -223,8 +225,8 @@
   add(at, "disk " + core + " " + mode);
   add(back, "disk " + core + " good");
   if (mode != "fail" && coin()) return;
-  // A failed sync is mended by a restart; others are restarted at times, too, with power or
-  // without.
+  // A process recovers from a failed sync only by a restart; after other disk faults some are
+  // restarted, too, with or without a loss of power.
   add(back + 0.1, (coin() ? "kill " : "power ") + core);
   add(back + 0.6, "start all");
 }
@@ -257,7 +259,7 @@
 }
 
 void ScheduleDrawer::seedsAway(double at) {
-  // One seed is cut off or down while others start, told that seed alone or all of them.
+  // One seed is unreachable or down while others start, which know that seed alone or all of them.
   double back = at + between(2, 8);
   if (!ledger_.lose(1, at, back)) return;
   std::string seed = std::to_string(pick(std::min(3, size_.cores)));
@@ -332,7 +334,7 @@
   } else if (how == 1) {
     add(at, coin() ? "kill all" : "kill cores");
   } else {
-    // As many disks as may be lost, at times while all others lose power.
+    // As many disks as may be lost, in some schedules while all other machines lose power.
     int first = pick(size_.cores);
     for (int lost = 0; lost < size_.tolerate; ++lost)
       add(at, "wipe core " + std::to_string((first - 1 + lost) % size_.cores + 1));
--- a/src/sim/schedule_drawer.h
+++ b/src/sim/schedule_drawer.h
@@ -1,7 +1,6 @@
 #pragma once
-// Draws the lines of a random schedule: troubles of machines, disks, clocks and the network that
-// both kinds of deployments know. It never asks for more losses of core machines at once than
-// `tolerate`.
+// Generates the lines of a random schedule: faults of machines, disks, clocks and the network that
+// both kinds of deployments have. At no time are more core machines lost than `tolerate`.
 #include <array>
 #include <cstdint>
 #include <string>
@@ -14,7 +13,7 @@
 
 namespace peppergate {
 
-/// The size of the deployment that a schedule is drawn for.
+/// The size of the deployment that a schedule is generated for.
 struct ScheduleSize {
   Interface interface = Interface::kStreams;
   int cores = 3;
@@ -24,19 +23,20 @@
   int engines = 4;
 };
 
-/// Draws lines "at TIME VERB WORDS". Times are seconds from the start of traffic.
+/// Generates lines "at TIME VERB WORDS". Times are seconds from the start of traffic.
 class ScheduleDrawer {
  public:
   ScheduleDrawer(std::uint64_t seed, const ScheduleSize& size);
 
-  /// Draws troubles at one moment; some begin at the very same instant.
+  /// Adds one to three faults at about one time; some begin at exactly the same time.
   void drawMoment(double at);
-  /// Draws what may end a day: all machines lose power or are killed, or as many as may be lost
-  /// lose their disks, at times while all others lose power. A change is sent shortly before.
+  /// Adds a fault for the end of a schedule: all machines lose power or are killed, or as many as
+  /// may be lost lose their disks, in some cases while all others lose power. A change is sent
+  /// shortly before.
   void drawClosing(double at);
   /// The lines in order of time.
   std::vector<std::string> lines() const;
-  /// When the last of them comes.
+  /// The time of the last line.
   double last() const;
   Random& random() { return random_; }
 
@@ -67,7 +67,7 @@
   void streamsDeed(double at);
   void routersDeed(double at);
 
-  // Core machines; each gives up where the ledger has no room.
+  // Faults of core machines; each adds nothing if too many machines would be lost at once.
   void coreKilled(double at);
   void coreWithoutPower(double at);
   void coreWiped(double at);
@@ -87,7 +87,7 @@
   void allWithoutPower(double at);
   void seedsAway(double at);
   void clocksLeap(double at);
-  // Fronts, engines and the network.
+  // Faults of fronts, engines and the network.
   void frontsKilled(double at);
   void frontFrozen(double at);
   void frontCut(double at);
--- a/tests/guards_test.cc
+++ b/tests/guards_test.cc
@@ -1,5 +1,5 @@
-// Each guard is switched off in turn: a scenario must then see the never-rule broken. This shows
-// that the scenarios can fail, and which guard keeps which rule.
+// Disables each guard in turn and checks that a scenario then reports the rule that the guard
+// protects as broken. This shows that the scenarios can fail, and which guard protects which rule.
 #include <algorithm>
 #include <future>
 #include <string>
@@ -16,8 +16,8 @@
 struct GuardRow {
   const char* scenario;
   const char* guard;
-  const char* never;   // what must be seen to go wrong
-  std::uint64_t seed;  // the first seed under which it does
+  const char* never;   // the failure that must be reported
+  std::uint64_t seed;  // the first seed under which it is
 };
 constexpr std::array<GuardRow, 22> kRows{{
     {"08-front-cut-off-with-withdrawn-key", "freshness", "withdrawn-key-served", 1},
@@ -50,7 +50,7 @@
   });
 }
 
-/// Whether the row's rule is seen broken within six seeds once its guard is off.
+/// Whether the row's failure is reported under one of six seeds with the guard disabled.
 bool breaks(const GuardRow& row) {
   auto scenario = loadScenario(std::string(SOURCE_FOLDER "/scenarios/") + row.scenario + ".txt");
   auto guard = std::ranges::find(kGuardNames, row.guard);
@@ -65,7 +65,7 @@
 
 TEST_GROUP(Guards){};
 
-TEST(Guards, EachOneIsNeededByAScenario) {
+TEST(Guards, EachDisabledGuardBreaksAScenario) {
   std::vector<std::future<bool>> broken;
   for (const auto& row : kRows) broken.push_back(std::async(std::launch::async, breaks, row));
   for (std::size_t index = 0; index < kRows.size(); ++index)
@@ -73,15 +73,15 @@
                (std::string(kRows[index].scenario) + " without " + kRows[index].guard).c_str());
 }
 
-TEST(Guards, OneBackupIsTooFewWhereTwoDisksAreLost) {
+TEST(Guards, OneBackupIsTooFewIfTwoDisksAreLost) {
   auto scenario = loadScenario(SOURCE_FOLDER "/scenarios/56-two-disks-lost-of-five.txt");
   CHECK(scenario.ok());
   scenario->options = {{"backups", "1"}};
-  // Both copies are gone, so nobody may lead: what was acknowledged can't be read any more.
+  // Both copies are lost, so no machine may become leader: acknowledged changes can't be recovered.
   CHECK(seen(runScenario(*scenario, 1), "no primary"));
 }
 
-TEST(Guards, EveryGuardHasItsRow) {
+TEST(Guards, EveryGuardHasARow) {
   for (const auto& name : kGuardNames)
     CHECK_TEXT(std::ranges::any_of(kRows, [&](const GuardRow& row) { return name == row.guard; }),
                std::string(name).c_str());
--- a/tests/router_scenarios_test.cc
+++ b/tests/router_scenarios_test.cc
@@ -1,4 +1,4 @@
-// Scenarios of fleets of routers: they read well, replay exactly, and see each guard's loss.
+// Scenarios of fleets of routers: parsing, exact replay, and detection of each disabled guard.
 #include <algorithm>
 #include <array>
 #include <fstream>
@@ -31,7 +31,7 @@
 struct GuardRow {
   const char* scenario;
   const char* guard;
-  const char* rule;  // that is seen broken without it
+  const char* rule;  // the rule that is broken without the guard
 };
 constexpr std::array<GuardRow, 6> kRows{{
     {"08-withdrawn-key-and-a-cut-off-router", "freshness", "withdrawn"},
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(RouterScenarios, AWrongLineIsNamed) {
+TEST(RouterScenarios, ParseErrorNamesItsLine) {
   STRCMP_EQUAL("line 2: unknown verb 'explode'",
                faultOf("name a\nat 1s explode router 1\n").c_str());
   STRCMP_EQUAL("line 2: 'dark' has the wrong number of words",
@@ -76,11 +76,10 @@
   STRCMP_EQUAL("line 3: time out of order", faultOf("name a\nat 2s heal\nat 1s heal\n").c_str());
   STRCMP_EQUAL("line 2: 'served' needs a number", faultOf("name a\nexpect served\n").c_str());
   STRCMP_EQUAL("line 2: unknown guard 'any'", faultOf("name a\nwithout any\n").c_str());
-  STRCMP_EQUAL("line 0: a scenario without expectation proves nothing",
-               faultOf("name a\n").c_str());
+  STRCMP_EQUAL("line 0: a scenario needs at least one expectation", faultOf("name a\n").c_str());
 }
 
-TEST(RouterScenarios, ADrawnDayIsTheSameAsAFile) {
+TEST(RouterScenarios, RandomScenarioSurvivesTheRoundTripThroughItsText) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RouterScenario day = drawRouterDay(seed);
     auto read = parseRouterScenario(day.text());
@@ -98,7 +97,7 @@
   CHECK(one.figures != runRouters(*scenario, 8).figures);
 }
 
-TEST(RouterScenarios, EachGuardsLossIsSeen) {
+TEST(RouterScenarios, ADisabledGuardBreaksItsRule) {
   for (const auto& row : kRows)
     CHECK_TEXT(breaks(row), (std::string(row.guard) + " in " + row.scenario).c_str());
 }
--- a/tests/scenarios_test.cc
+++ b/tests/scenarios_test.cc
@@ -1,4 +1,5 @@
-// Every scenario file, each under a fixed set of seeds, and the same seed twice alike.
+// Scenario files: parsing, unique names and exact replay; and the loss of a machine at each step of
+// the bootstrap of a fleet.
 #include <cstdio>
 #include <set>
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// A fleet that is just founded while its first founder meets a fault, a little after the start.
+/// A scenario in which a core machine fails `after` seconds into the bootstrap of a fleet.
 std::string foundingText(double after, const std::string& fault) {
   char when[32];
   std::snprintf(when, sizeof when, "%.3f", -9 + after);
@@ -19,7 +20,7 @@
          "expect led-within 1 from 0s\n";
 }
 
-/// The bootstrap takes place within this time; faults come at each step of it.
+/// The bootstrap takes place within this time, in seconds; the fault moves through it step by step.
 constexpr double kFoundingFrom = 0.04, kFoundingTo = 0.13, kFoundingStep = 0.003;
 
 void checkBootstrap(const std::string& fault) {
@@ -38,17 +39,17 @@
 
 TEST_GROUP(ScenarioFiles){};
 
-TEST(ScenarioFiles, AFounderThatIsLostLeavesOneFleet) { checkBootstrap("kill core 1"); }
+TEST(ScenarioFiles, LosingTheFirstFounderLeavesOneFleet) { checkBootstrap("kill core 1"); }
 
-TEST(ScenarioFiles, AFounderThatComesBackFindsOneFleet) {
+TEST(ScenarioFiles, ARestartedFounderJoinsTheOneFleet) {
   checkBootstrap("kill core 1\nat -8s start core 1");
 }
 
-TEST(ScenarioFiles, AFounderThatComesBackEmptyFoundsNothing) {
+TEST(ScenarioFiles, AFounderRestartedWithoutItsDiskCreatesNoSecondFleet) {
   checkBootstrap("wipe core 1\nat -8s start core 1");
 }
 
-TEST(ScenarioFiles, ASecondFounderThatIsLostLeavesOneFleet) { checkBootstrap("wipe core 2"); }
+TEST(ScenarioFiles, LosingTheSecondFounderLeavesOneFleet) { checkBootstrap("wipe core 2"); }
 
 TEST(ScenarioFiles, AllParseAndNamesAreUnique) {
   std::set<std::string> names;
--- a/tests/schedules_test.cc
+++ b/tests/schedules_test.cc
@@ -1,5 +1,5 @@
-// Random schedules of every trouble, the ledger that bounds them, and the network that they
-// disturb.
+// Random schedules with every kind of fault, the ledger that bounds concurrent losses, and the
+// simulated network.
 #include <filesystem>
 #include <fstream>
 #include <map>
@@ -27,8 +27,8 @@
   return words;
 }
 
-/// How many core machines a schedule asks to lose their disks at one time, with what they need to
-/// catch up; judged from the lines alone.
+/// The largest number of core machines that have lost their disks or still catch up at one time,
+/// computed from the lines alone.
 std::size_t mostDisksLostAtOnce(const MixedDay& day) {
   constexpr double kCatchUp = 4;
   std::map<std::string, double> lostUntil;
@@ -49,7 +49,7 @@
 
 TEST_GROUP(Schedules){};
 
-TEST(Schedules, AllParseAndTheSameSeedDrawsTheSame) {
+TEST(Schedules, AllParseAndTheSameSeedGivesTheSame) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     MixedDay streams = drawMixedDay(seed, Interface::kStreams);
     auto read = parseScenario(streams.text());
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Schedules, EveryTroubleIsDrawnAndSeveralAtTheSameInstant) {
+TEST(Schedules, EveryFaultOccursAndSeveralAtTheSameTime) {
   std::set<std::string> verbs;
   std::size_t together = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -82,7 +82,7 @@
   CHECK(together > kSeeds);
 }
 
-TEST(Schedules, NoMoreDisksAreLostAtOnceThanIsTolerated) {
+TEST(Schedules, NoMoreDisksAreLostAtOnceThanTolerated) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     MixedDay day = drawMixedDay(seed, Interface::kStreams);
     bool two = day.head.find("at most 2 core") != std::string::npos;
@@ -99,7 +99,7 @@
   }
 }
 
-TEST(Schedules, ShrinkingLeavesWhatTheFailureNeeds) {
+TEST(Schedules, ShrinkingKeepsTheLinesThatTheFailureNeeds) {
   std::vector<std::string> lines{"a", "b", "c", "d", "e", "f", "g"};
   auto needsBAndF = [](const std::vector<std::string>& left) {
     return std::ranges::count(left, "b") == 1 && std::ranges::count(left, "f") == 1;
@@ -110,15 +110,15 @@
 
 TEST_GROUP(Ledger){};
 
-TEST(Ledger, ASecondLossFitsOnlyOnceTheFirstHasCaughtUp) {
+TEST(Ledger, AcceptsASecondLossOnlyAfterTheFirstHasCaughtUp) {
   LossLedger ledger(1, 4);
   CHECK(ledger.lose(1, 10, 12));
   CHECK_FALSE(ledger.lose(1, 15.9, 17));
-  CHECK_FALSE(ledger.lose(1, 5, 6.1));  // it would still count when the first is lost
+  CHECK_FALSE(ledger.lose(1, 5, 6.1));  // would still be catching up when the other is lost
   CHECK(ledger.lose(1, 16, 17));
 }
 
-TEST(Ledger, TwoFitWhereTwoAreToleratedAndAllOnlyAlone) {
+TEST(Ledger, AcceptsTwoLossesIfTwoAreToleratedAndALossOfAllOnlyAlone) {
   LossLedger ledger(2, 4);
   CHECK(ledger.lose(1, 10, 20));
   CHECK(ledger.lose(1, 12, 13));
@@ -133,7 +133,7 @@
   SimNetwork network{random};
 };
 
-TEST(SimulatedNetwork, ACutOfOneWayLeavesTheOther) {
+TEST(SimulatedNetwork, AOneWayCutLeavesTheOtherDirection) {
   network.cutOneWay({"a"}, {"b", "c"});
   CHECK_FALSE(network.reachable("a", "b"));
   CHECK(network.reachable("b", "a"));
@@ -143,7 +143,7 @@
   CHECK_FALSE(network.isDisturbed("b"));
 }
 
-TEST(SimulatedNetwork, AResetEndsConnectionsAndMakesSendersWait) {
+TEST(SimulatedNetwork, AResetClosesConnectionsAndDelaysReconnects) {
   auto before = network.connection("a", "b"), other = network.connection("b", "c");
   network.reset("a", at(1));
   CHECK(network.connection("a", "b") > before);
@@ -152,7 +152,7 @@
   CHECK_FALSE(network.waitsToReconnect("b", "a", at(1.2)));
 }
 
-TEST(SimulatedNetwork, AHangHoldsBytesAndLosesNone) {
+TEST(SimulatedNetwork, AHangDelaysBytesWithoutLoss) {
   network.hang({"a"});
   CHECK(network.hangs("b", "a"));
   CHECK(network.reachable("b", "a"));
@@ -161,7 +161,7 @@
   CHECK_FALSE(network.hangs("b", "a"));
 }
 
-TEST(SimulatedNetwork, TheShareOfLostMessagesIsAsTold) {
+TEST(SimulatedNetwork, TheShareOfLostMessagesIsAsSet) {
   network.setLoss(0.25);
   int lost = 0;
   for (int message = 0; message < 4000; ++message) lost += network.transit() ? 0 : 1;
@@ -170,8 +170,8 @@
 
 TEST_GROUP(WallClock){};
 
-TEST(WallClock, NoDecisionReadsIt) {
-  // A time of day that jumps can't matter to what doesn't look at it.
+TEST(WallClock, NoDecisionDependsOnIt) {
+  // Code that doesn't read the wall clock is not affected when it jumps.
   namespace fs = std::filesystem;
   std::size_t files = 0;
   for (const char* folder : {"core", "engines", "prompts", "requests", "wire"}) {
