--- a/src/sim/batch_engine.h
+++ b/src/sim/batch_engine.h
@@ -19,7 +19,7 @@
   std::int64_t slots = 32;
   std::int64_t queue = 96;
   std::int64_t kvTokens = 300'000;
-  double tokensPerMs = 150;  // prefill speed
+  double tokensPerMs = 150;
   Duration firstStep = milliseconds(26);
   Duration step = milliseconds(5);   // time per output token of a single run
   Duration stepEach = Duration{50};  // additional time per token for each running request
--- a/src/sim/router_checker.h
+++ b/src/sim/router_checker.h
@@ -24,13 +24,13 @@
   void wrote(const RouterRun& run, ClientRequest& request);
   /// An engine accepted an attempt.
   void took(const RouterRun& run, ClientRequest& request);
-  /// A client received a stream event; `before` is the id of the event before it in its run.
+  /// A client received a stream event, which names the id of the previous event of its run.
   void event(ClientRequest& request, std::uint64_t before, std::uint64_t id,
              const std::string& run);
   /// A client received a response that was marked complete.
   void whole(ClientRequest& request);
-  /// A response implied that the request has not run and never will. `passedOn`: its head came from
-  /// an engine.
+  /// A response implied that the request has not run and never will. The router's own responses
+  /// must be right; an engine's error that it forwards is exempt for repeatable requests.
   void promised(ClientRequest& request, bool passedOn);
   /// A router rejected a request with a 401, 403 or 404 of its own.
   void denied(const ClientRequest& request);
--- a/src/sim/router_clients.h
+++ b/src/sim/router_clients.h
@@ -39,7 +39,7 @@
   std::weak_ptr<RouterRun> attempt;  // the last one
 };
 
-/// A route that clients use; `open`: without a key, `share`: of the traffic.
+/// A route that clients use, with its share of the traffic; an open route needs no key.
 struct ClientRoute {
   std::string_view name, prefix;
   RouteKind kind;
--- a/src/sim/router_world.h
+++ b/src/sim/router_world.h
@@ -73,7 +73,7 @@
   /// The configuration that operators send first.
   Json firstConfig() const;
   /// Whether a process is connected to the leader, and neither it nor the core machines were
-  /// disturbed for longer than `since`.
+  /// disturbed for longer than a given time.
   bool inTouch(const RouterProcess& process, Duration since);
   /// Whether a router that was told to stop accepts no new connections any more.
   bool closed(const RouterProcess& process) const;
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -21,10 +21,10 @@
   std::uint64_t documents = 4;  // of each tenant
   std::size_t cache = 24;       // prefix blocks that an engine caches
   double late = 1.0 / 300;      // share of messages that are delayed, by up to 2.5 s
-  double link = 60;             // bandwidth of each engine's link, in MB/s
-  double uplink = 150;          // bandwidth of each rack's uplink, in MB/s
-  std::uint64_t pieces = 15;    // largest number of pieces of a stream
-  double deadline = 10;         // longest deadline of a stream, in seconds
+  double link = 60;             // bandwidth of each engine's link
+  double uplink = 150;          // bandwidth of each rack's uplink
+  std::uint64_t pieces = 15;    // of a stream
+  double deadline = 10;         // of a stream
 };
 
 /// Reads a scenario; an error names its line.
--- a/src/sim/scenario_reader.h
+++ b/src/sim/scenario_reader.h
@@ -38,7 +38,7 @@
   int cores = 4;
   int spares = 0;  // core machines that aren't started at first
   int engines = 6;
-  double requests = 30;    // per second
+  double requests = 30;
   double settles = 0.9;    // share to be served from 12 s after the last fault on; 0: not checked
   Duration startSpread{};  // machines first start within this time of each other, in any order
   Duration run = seconds(40);
@@ -52,9 +52,9 @@
 struct ScenarioDialect {
   Interface interface = Interface::kStreams;
   std::string_view frontsWord;  // "fronts" or "routers"
-  MonotonicTime earliest;       // earliest time of an action
-  Duration settling;            // how long traffic continues after the last action
-  bool endsActions = false;     // whether an action after the written end of the run is an error
+  MonotonicTime earliest;
+  Duration settling;
+  bool endsActions = false;  // whether an action after the written end of the run is an error
   /// Reads a header line of two words that only this interface has; false if it has no such line.
   std::function<bool(const std::string& word, const std::string& value)> head;
 };
--- a/src/sim/schedule_drawer.cc
+++ b/src/sim/schedule_drawer.cc
@@ -6,10 +6,10 @@
 namespace peppergate {
 namespace {
 
-/// How long, in seconds, a machine that is back still counts as lost while it catches up; the
+/// How long a machine that is back still counts as lost while it catches up; the
 /// `catchup_s` of deployments.
 constexpr double kCatchUp = 4;
-/// How long, in seconds, after the earliest allowed time a second loss comes: a machine's boot
+/// How long after the earliest allowed time a second loss comes: a machine's boot
 /// clock may be off by 1 %, and recovery steps take time.
 constexpr double kRightAfter = 0.05;
 
--- a/src/sim/shrink.h
+++ b/src/sim/shrink.h
@@ -6,8 +6,8 @@
 
 namespace peppergate {
 
-/// Removes ranges of lines, long ones first, as long as the remaining lines still fail. Runs the
-/// predicate at most `mostRuns` times.
+/// Removes ranges of lines, long ones first, as long as the remaining lines still fail. Each
+/// check is a run; their number is limited.
 std::vector<std::string> shrinkLines(
     std::vector<std::string> lines,
     const std::function<bool(const std::vector<std::string>&)>& fails, int mostRuns);
