--- a/src/sim/router_checker.cc
+++ b/src/sim/router_checker.cc
@@ -240,7 +240,7 @@
       met = (value = static_cast<double>(acknowledged)) >= expectation.number;
     else if (expectation.wanted == Wanted::kVersions)
       met = (value = static_cast<double>(orders)) >= expectation.number;
-    else if (expectation.wanted == Wanted::kKept)  // at most so many prompt tokens computed per run
+    else if (expectation.wanted == Wanted::kKept)
       met = (value = takes_ > 0 ? static_cast<double>(read) / static_cast<double>(takes_) : 0) <=
             expectation.number;
     if (!met)
--- a/src/sim/router_operators.h
+++ b/src/sim/router_operators.h
@@ -12,7 +12,7 @@
 
 /// A change that an operator sends; it is retried under the same id until it is answered.
 struct OperatorChange {
-  std::string id, kind, key;  // key: the one that the change withdraws
+  std::string id, kind, key;
   Json body;
   Json becomes;  // the configuration once the change is applied
   std::uint64_t base = 0, version = 0, marker = 0;
--- a/tests/schedules_test.cc
+++ b/tests/schedules_test.cc
@@ -1,4 +1,4 @@
-// Random schedules with every kind of fault, the ledger that bounds concurrent losses, and the
+// Random schedules with every kind of fault, the bound on concurrent losses, and the
 // simulated network.
 #include <filesystem>
 #include <fstream>
@@ -108,9 +108,9 @@
   CHECK(shrinkLines(lines, needsBAndF, 0) == lines);
 }
 
-TEST_GROUP(Ledger){};
+TEST_GROUP(MachineLosses){};
 
-TEST(Ledger, AcceptsASecondLossOnlyAfterTheFirstHasCaughtUp) {
+TEST(MachineLosses, AcceptsASecondLossOnlyAfterTheFirstHasCaughtUp) {
   LossLedger ledger(1, 4);
   CHECK(ledger.lose(1, 10, 12));
   CHECK_FALSE(ledger.lose(1, 15.9, 17));
@@ -118,7 +118,7 @@
   CHECK(ledger.lose(1, 16, 17));
 }
 
-TEST(Ledger, AcceptsTwoLossesIfTwoAreToleratedAndALossOfAllOnlyAlone) {
+TEST(MachineLosses, AcceptsTwoLossesIfTwoAreToleratedAndALossOfAllOnlyAlone) {
   LossLedger ledger(2, 4);
   CHECK(ledger.lose(1, 10, 20));
   CHECK(ledger.lose(1, 12, 13));
