--- a/src/io/daemon.cc
+++ b/src/io/daemon.cc
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kSlowCaller = 256 << 10;
 constexpr std::size_t kCallerTookEnough = 64 << 10;
-constexpr std::size_t kLargestPage = 8 << 20;  // a whole configuration in one body
+constexpr std::size_t kLargestPage = 8 << 20;  // a body may hold a complete configuration
 constexpr Duration kLateLoop = milliseconds(100), kVeryLateLoop = milliseconds(500);
 constexpr Duration kLagNotedEvery = seconds(1);
 
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-/// Carries out one command each.
+/// Carries out one command of any kind.
 struct DaemonRunner {
   Daemon& daemon;
   void operator()(const Send& command) const { daemon.hub_->send(command.to, command.message); }
@@ -64,7 +64,7 @@
     auto owned = daemon.answering_.extract(command.stream);
     if (owned.empty()) return;
     auto& [request, unary, gathered, requestId, shot, paused] = owned.mapped();
-    if (unary) {  // a short answer goes out only when it is whole
+    if (unary) {  // a unary response is sent only when it is complete
       request->answer(200, {{"Content-Type", "application/json"}, {"X-Request-Id", requestId}},
                       Json{{"answer", gathered}}.dump());
       return;
@@ -98,23 +98,23 @@
     owned.mapped()->answer(answer.status, answer.headers, answer.body);
   }
   void operator()(const NoteState& command) const { LOG(INFO) << command.text; }
-  /// What only daemons of another dialect do.
+  /// Commands that need a dialect.
   template <class Other>
   void operator()(const Other& command) const {
     if (daemon.endpoints_) daemon.endpoints_->carryOut(command);
   }
 };
 
-// A signal to leave or to read settings again that comes before the loop runs waits for it.
+// Signals are blocked until the loop runs, so that none is lost or ends the process before.
 Daemon::Daemon(Role role, DaemonSetup setup) : role_(role), setup_(std::move(setup)) {
   sigset_t signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-// Connections that close while their owners are destroyed tell of it, but nothing is done about it
-// any more: what they would touch may be gone.
+// Connections report their close while their owners are destroyed. Nothing may be done about it any
+// more, as the objects that it concerns may be destroyed already.
 Daemon::~Daemon() {
-  stepping_ = true;  // the node may hear of it, its commands are not carried out
+  stepping_ = true;  // the node may still get events, but its commands are not carried out
   for (auto& [ticket, request] : operators_) request->onGone = nullptr;
   for (auto& [stream, answering] : answering_) answering.request->onGone = nullptr;
 }
@@ -185,7 +185,7 @@
 }
 
 void Daemon::carryOut() {
-  // Carrying out a command may bring the next event at once; the outer call goes on with it.
+  // Carrying out a command may raise another event at once; the outer call handles its commands.
   if (stepping_) return;
   stepping_ = true;
   for (auto commands = node_->outbox().take(); !commands.empty(); commands = node_->outbox().take())
@@ -210,7 +210,7 @@
   step(StreamRequest{stream, request->headers, request->body, unary});
 }
 
-// A caller that has left by now has no engine asked for it; the node hears of it here.
+// No engine is called for a caller that has disconnected; the node is notified here.
 bool Daemon::callerPresent(ShotId shot) {
   auto& front = static_cast<FrontNode&>(*node_);
   for (const auto& [stream, answering] : answering_) {
@@ -257,7 +257,7 @@
 void Daemon::leaveWhenDone() {
   auto stop = [this] { loop_.stop(); };
   if (!endpoints_ || role_ == Role::kCore) return loop_.after(milliseconds(100), stop);
-  // A connection that is open may bring a request at any moment: the process goes after the last.
+  // An open connection may bring a request at any moment, so the process ends after the last one.
   endpoints_->listener().close();
   bool over = bootNow() - leaving_ > setup_.options.graceTime - seconds(0.6);
   if (over || endpoints_->listener().connections() == 0) loop_.soon(stop);
@@ -284,8 +284,8 @@
   endpoints_->listener().limits(follower.setup().fleet.limits);
 }
 
-// What waits to be read by a loop that is behind can't be told apart from what came late. So the
-// log says so at once, and the counters say how often.
+// Data that waits for a late loop can't be told apart from data that arrived late. So a long delay
+// is logged at once, and the counters say how often it happens.
 void Daemon::noteLoopLag(MonotonicTime now) {
   Duration late = loopLag_.tick(now);
   if (late < kLateLoop) return;
@@ -294,7 +294,7 @@
   node_->outbox().count("loop.veryLate");
   if (lagNotedAt_ != kNever && now - lagNotedAt_ < kLagNotedEvery) return;
   lagNotedAt_ = now;
-  LOG(WARNING) << "the loop is " << inMilliseconds(late) << " ms behind";
+  LOG(WARNING) << "the event loop is " << inMilliseconds(late) << " ms behind";
 }
 
 void Daemon::rehearse(std::shared_ptr<WebRequest> request) {
@@ -305,7 +305,7 @@
   }
   if (body.contains("cut")) {
     std::set<std::string> cut = body["cut"].get<std::set<std::string>>();
-    LOG(INFO) << "rehearsal: cut from " << cut.size() << " addresses";
+    LOG(INFO) << "fault injection: blocking " << cut.size() << " addresses";
     hub_->cut(cut);
     client_->cut(cut);
   }
@@ -321,8 +321,8 @@
 }
 
 void Daemon::watchSlowCallers() {
-  if (endpoints_) return;  // the listener of another dialect tells of them itself
-  // A caller that reads slowly slows its own stream only: its shot is read no further.
+  if (endpoints_) return;  // the dialect's listener reports backpressure itself
+  // A slow caller slows only its own stream: the engine's response isn't read meanwhile.
   for (auto& [stream, answering] : answering_) {
     auto shot = role_ == Role::kFront ? static_cast<FrontNode&>(*node_).shotOf(stream)
                                       : std::optional<ShotId>();
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -1,5 +1,6 @@
 #pragma once
-// The shell round a core or a front: it brings events and carries out commands.
+// The process of a core or a router: passes events from sockets, timers and the disk to the node
+// and carries out the node's commands.
 #include <absl/status/status.h>
 
 #include <map>
@@ -17,34 +18,35 @@
 
 namespace peppergate {
 
-/// What a daemon is told by its flags and its settings file.
+/// The settings of a daemon, from its flags and its settings file.
 struct DaemonSetup {
   std::string fleet = "peppergate";
-  Address member;    // frames between members
-  Address pages;     // operators
-  Address callers;   // callers, of a front
-  Address platform;  // where the engine list is, of a front
+  Address member;    // for frames between members
+  Address pages;     // for operators' calls
+  Address callers;   // for clients' requests, of a router
+  Address platform;  // serves the engine list, of a router
   Zone zone;
   std::vector<Address> seeds;
   std::string dataFolder;  // of a core
   Bootstrap bootstrap;     // of a core
-  Duration countersEvery;  // 0: counters are written to the log at the end only
-  bool rehearsal = false;  // faults may be asked for at the pages
-  // A daemon of another dialect than the product's own: its clients' listener is at `callers`, the
-  // operators' calls come to `pages`, readiness is asked at `pages` too.
+  Duration countersEvery;  // 0: counters are logged only at the end
+  bool rehearsal = false;  // operators may inject faults
+  // Null for the product's own interface. With a dialect, readiness checks arrive at the operators'
+  // address, too.
   std::shared_ptr<const Dialect> dialect;
-  std::map<Zone, std::string> regions;  // of a router: each zone's
+  std::map<Zone, std::string> regions;  // region of each zone, of a router
   Options options;
 };
 
-/// Example: `Daemon daemon(Role::kFront, setup); if (daemon.open().ok()) daemon.run();`
+/// Runs one member of the fleet on an event loop.
 class Daemon {
  public:
   Daemon(Role role, DaemonSetup setup);
   ~Daemon();
-  /// Opens folder and ports; a wrong one is an error. Example: see the class.
+  /// Opens the data folder and the listening sockets.
   absl::Status open();
-  /// Runs until a drain has ended. Example: see the class.
+  /// Runs until a drain has ended and returns the exit code. SIGTERM and SIGINT start the drain;
+  /// SIGHUP reads the options again.
   int run(std::function<absl::StatusOr<Options>()> reread);
 
  private:
@@ -82,9 +84,9 @@
   std::unique_ptr<DiskTask> disk_;
   std::unique_ptr<WebClient> client_;
   std::unique_ptr<WebServer> pages_, callers_;
-  std::unique_ptr<DialectEndpoints> endpoints_;  // of a daemon of another dialect
+  std::unique_ptr<DialectEndpoints> endpoints_;  // null without a dialect
   std::uint64_t changesSeen_ = 0;
-  MonotonicTime leaving_ = kForever;  // since the word to leave
+  MonotonicTime leaving_ = kForever;  // when the drain started
   std::map<StreamId, Answering> answering_;
   std::map<TicketId, std::shared_ptr<WebRequest>> operators_;
   std::uint64_t lastStream_ = 0, lastTicket_ = std::uint64_t{1} << 40;
--- a/src/io/dialect.h
+++ b/src/io/dialect.h
@@ -1,6 +1,6 @@
 #pragma once
-// How requests, engines' calls and operators' calls look on the wire. A dialect holds names and
-// formats and decides nothing; the shell asks it for bytes and gives it bytes to read.
+// The wire format of requests, of calls to engines and of operators' calls. A dialect only formats
+// and parses messages; it takes no decisions and does no I/O.
 #include <optional>
 #include <string>
 #include <string_view>
@@ -9,7 +9,7 @@
 
 namespace peppergate {
 
-/// A short HTTP call as it is to be written. Example: `dialect.call(PollParts{...})`.
+/// A short HTTP call to be sent.
 struct HttpCall {
   Address address;
   std::string method = "GET", path = "/";
@@ -17,11 +17,11 @@
   std::string body;
   Duration timeout = seconds(1);
   MonotonicTime writeBefore = kForever;
-  // A late answer to an earlier call can't be told from this one's: none may stand on its
-  // connection.
+  // Uses a new connection and closes it afterwards, for calls whose response can't be told apart
+  // from a late response to an earlier call on the same connection.
   bool ownConnection = false;
 };
-/// What came back; status 0 is no answer, and `written` tells whether a byte of the call left.
+/// The response to a call; status 0 means none. `written`: at least one byte of the call was sent.
 struct HttpAnswer {
   int status = 0;
   bool written = false;
@@ -29,7 +29,7 @@
   std::string body;
 };
 
-/// One event of a stream as far as the system looks at it.
+/// What the system reads from one event of a stream.
 struct StreamMark {
   std::optional<std::uint64_t> id;
   std::optional<WeightsVersion> newVersion;
@@ -40,22 +40,21 @@
   virtual ~Dialect() = default;
 
   // Clients' requests.
-  /// Reads a client's request; a status above 0 is the refusal of one that can't be read.
-  /// Example: `if (int status = dialect.readRequest(wire, event)) refuse(status);`
+  /// Parses a client's request. Returns 0, or the status with which an invalid one is refused.
   virtual int readRequest(const std::shared_ptr<const WireRequest>& wire,
                           RequestArrived& event) const = 0;
-  /// The whole request as an engine gets it, head and body. Example: before the write.
+  /// Formats the complete request for an engine, head and body.
   virtual std::string attemptText(const OpenAttempt& attempt) const = 0;
-  /// Fills what an engine's head says; false if it answers another request than this one.
+  /// Parses the head of an engine's response; false if it answers another request than this one.
   virtual bool readHead(const WireHead& head, const OpenAttempt& attempt,
                         AttemptTurned& turned) const = 0;
-  /// Looks at one event of a stream, without its empty line. Example: for its id.
+  /// Parses one event of a stream, given without its empty line.
   virtual StreamMark readEvent(std::string_view event) const = 0;
-  /// The headers of the engine's answer that a client gets, each line with its CRLF, without those
-  /// of one connection or of framing and without the empty line. Example: "Retry-After: 1\r\n".
+  /// The headers of an engine's response that are forwarded to the client, each with its CRLF, such
+  /// as "Retry-After: 1\r\n". Connection and framing headers and the empty line are left out.
   virtual std::string answerHeaders(const WireHead& head) const = 0;
-  /// The headers of an answer of the system's own, each line with its CRLF; the listener adds
-  /// framing, the empty line and the refusal's kind as the text. Example: "Retry-After: 0.2\r\n".
+  /// The headers of a refusal by the router itself, each with its CRLF, such as
+  /// "Retry-After: 0.2\r\n". The listener adds framing, the empty line and the kind as the body.
   virtual std::string refusalHeaders(const RefuseRequest& refusal,
                                      const std::string& clientId) const = 0;
 
@@ -65,7 +64,7 @@
   virtual HttpCall call(const OrderWeights& command) const = 0;
   virtual HttpCall call(const PollParts& command) const = 0;
   virtual HttpCall call(const ListParts& command) const = 0;
-  /// Whether a head may be a call's answer: one to a client's request names that request.
+  /// Whether a response may belong to a call; false if it names a client's request by its id.
   virtual bool answersCall(const WireHead& head) const = 0;
   virtual EnginesListed readList(TicketId ticket, const HttpAnswer& answer) const = 0;
   virtual ReportAnswered readReport(TicketId ticket, const HttpAnswer& answer) const = 0;
@@ -73,19 +72,21 @@
   virtual PartsPolled readPoll(TicketId ticket, const HttpAnswer& answer) const = 0;
   virtual PartsListed readParts(TicketId ticket, const HttpAnswer& answer) const = 0;
 
-  // Operators' calls, as the product's own operators' interface and back.
-  /// Nothing: no such page, it is the product's own. Example: `dialect.readOperator(asked)`.
+  // Operators' calls, translated to the product's own operator interface and back.
+  /// An operator's call as translated.
   struct OperatorCall {
-    OperatorRequest asked;                  // in the product's own words
-    int kind = 0;                           // given back to `operatorAnswer`
-    std::optional<AnswerWeb> refused = {};  // can't be read: this is the answer, nothing is asked
+    OperatorRequest asked;                  // in the product's own interface
+    int kind = 0;                           // passed to `operatorAnswer`
+    std::optional<AnswerWeb> refused = {};  // set if the call is invalid: the response to it
   };
+  /// Parses an operator's call; nothing if the dialect has no such path.
   virtual std::optional<OperatorCall> readOperator(TicketId ticket, const std::string& method,
                                                    const std::string& path, const Headers& headers,
                                                    const std::string& body) const = 0;
-  /// The product's answer in the dialect's words. Example: done is 200, stale is 412.
+  /// Translates a response to the dialect, as 200 for a change that is done and 412 for a stale
+  /// one.
   virtual AnswerWeb operatorAnswer(int kind, const AnswerWeb& answer) const = 0;
-  /// The path at which readiness is asked. Example: "/ready".
+  /// The path of the readiness check, such as "/ready".
   virtual std::string_view readyPath() const = 0;
 };
 
--- a/src/io/dialect_endpoints.h
+++ b/src/io/dialect_endpoints.h
@@ -1,6 +1,6 @@
 #pragma once
-// The sockets of a daemon that speaks a dialect: clients' listener, engines' calls, operators'
-// calls.
+// The network endpoints of a daemon that uses a dialect: the clients' listener, the calls to
+// engines and the operators' calls.
 #include <functional>
 #include <map>
 #include <memory>
@@ -11,15 +11,14 @@
 
 namespace peppergate {
 
-/// Example: `DialectEndpoints endpoints(loop, dialect, step); endpoints.listen(address);
-/// endpoints.carryOut(command);`
+/// Carries out commands of requests and engines, and reports what arrives as events.
 class DialectEndpoints {
  public:
   using Step = std::function<void(const Event&)>;
   DialectEndpoints(Loop& loop, const Dialect& dialect, Step step);
-  /// Opens the clients' listener. Example: see the class.
+  /// Opens the clients' listener.
   absl::Status listen(const Address& address);
-  /// Carries out one command of the requests' or engines' kinds. Example: see the class.
+  /// Carries out one command. Commands of a kind that has no overload are only counted.
   template <class Other>
   void carryOut(const Other&) {
     ++unknown_;
@@ -36,14 +35,14 @@
   void carryOut(const OrderWeights& command);
   void carryOut(const PollParts& command);
   void carryOut(const ListParts& command);
-  /// Takes an operator's call in the dialect's words: what is asked in the product's, or the
-  /// refusal of one that can't be read; nothing if it is none of them.
+  /// Translates an operator's call from the dialect to the product's own interface. Returns the
+  /// request, the refusal of an invalid one, or nothing if the dialect has no such call.
   std::optional<std::variant<OperatorRequest, AnswerWeb>> operatorCall(TicketId ticket,
                                                                        const std::string& method,
                                                                        const std::string& path,
                                                                        const Headers& headers,
                                                                        const std::string& body);
-  /// The product's answer, in the dialect's words where the call was. Example: before it is sent.
+  /// Translates the response to an operator's call to the dialect, if the call was in the dialect.
   AnswerWeb operatorAnswer(const AnswerWeb& answer);
   HttpListener& listener() { return listener_; }
   const HttpClient& client() const { return client_; }
--- a/src/io/disk_task.cc
+++ b/src/io/disk_task.cc
@@ -18,7 +18,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::string_view kAside = ".aside";  // ends the name of a file that is being written
+constexpr std::string_view kAside = ".aside";  // suffix of a file that is being written
 
 absl::Status fileError(std::string_view what, const std::string& path) {
   return absl::UnavailableError(std::string(what) + " " + path + ": " + strerror(errno));
@@ -44,21 +44,21 @@
 absl::Status writeAside(const FileCalls& calls, const std::string& path, std::string_view content) {
   int descriptor = calls.openFile(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
   if (descriptor < 0)
-    return noSpace() ? absl::ResourceExhaustedError("no space for " + path)
+    return noSpace() ? absl::ResourceExhaustedError("no space left for " + path)
                      : fileError("create", path);
   while (!content.empty()) {
     long count = calls.writeSome(descriptor, content.data(), content.size());
     if (count < 0 && errno == EINTR) continue;
-    if (count <= 0) {  // a write of nothing is no way forward either
+    if (count <= 0) {  // writing no bytes is taken for a full disk, too
       absl::Status status = count == 0 || noSpace()
-                                ? absl::ResourceExhaustedError("no space for " + path)
+                                ? absl::ResourceExhaustedError("no space left for " + path)
                                 : fileError("write", path);
       calls.closeFile(descriptor);
       return status;
     }
     content.remove_prefix(static_cast<std::size_t>(count));
   }
-  // After a failed sync nobody knows what the disk has: that is never taken for want of space.
+  // A failed sync is never reported as a full disk: the contents of the disk are unknown then.
   bool synced = calls.syncFile(descriptor) == 0;
   absl::Status status = synced ? absl::OkStatus() : fileError("sync", path);
   if (calls.closeFile(descriptor) != 0 && synced) status = fileError("close", path);
@@ -88,17 +88,19 @@
                                                                   const FileCalls& calls) {
   std::error_code fault;
   fs::create_directories(folder, fault);
-  if (fault) return absl::FailedPreconditionError("data folder " + folder + ": " + fault.message());
+  if (fault)
+    return absl::FailedPreconditionError("cannot create data folder " + folder + ": " +
+                                         fault.message());
   const std::string probe = folder + "/.probe";
   absl::Status probed = writeAside(calls, probe, "probe");
   calls.removeFile(probe.c_str());
   if (!probed.ok() && !absl::IsResourceExhausted(probed))
-    return absl::FailedPreconditionError("data folder can't be written: " +
+    return absl::FailedPreconditionError("data folder is not writable: " +
                                          std::string(probed.message()));
   std::map<std::string, std::string> files;
   for (const std::string& name : calls.listFolder(folder.c_str())) {
     const std::string path = folder + "/" + name;
-    if (name.ends_with(kAside)) {  // a write that never got its name
+    if (name.ends_with(kAside)) {  // a write that was never renamed
       calls.removeFile(path.c_str());
       continue;
     }
@@ -115,7 +117,7 @@
   std::string path = folder + "/" + name;
   std::string aside = path + std::string(kAside);
   if (absl::Status status = writeAside(calls, aside, content); !status.ok()) {
-    if (absl::IsResourceExhausted(status)) calls.removeFile(aside.c_str());  // gives back its space
+    if (absl::IsResourceExhausted(status)) calls.removeFile(aside.c_str());  // frees its space
     return status;
   }
   if (calls.renameFile(aside.c_str(), path.c_str()) != 0) return fileError("rename", path);
@@ -165,19 +167,20 @@
   DiskFault fault = DiskFault::kNone;
   {
     std::unique_lock lock(mutex_);
-    // A stalled disk holds every write until it is well again.
+    // An injected stall blocks every write until the fault is removed.
     wake_.wait(lock, [this] { return stopping_ || fault_ != DiskFault::kStall; });
     fault = fault_;
   }
   if (fault == DiskFault::kSlow) std::this_thread::sleep_for(std::chrono::milliseconds(400));
-  if (fault == DiskFault::kFull) return absl::ResourceExhaustedError("no space left (rehearsal)");
-  if (fault == DiskFault::kFailSync) return absl::DataLossError("sync failed (rehearsal)");
+  if (fault == DiskFault::kFull)
+    return absl::ResourceExhaustedError("no space left (injected fault)");
+  if (fault == DiskFault::kFailSync) return absl::DataLossError("sync failed (injected fault)");
   return writeFile(calls_, folder_, command.name, command.content);
 }
 
 absl::Status DiskTask::carryOut(const WriteFile& command) {
-  // Want of space changes nothing on the disk: the write is tried again until there is some. Till
-  // then the machine finds its disk stalled, gives up its duties, and takes them up again after.
+  // A full disk changes nothing that was written: the write is retried until there is space. In the
+  // meantime the core sees a stalled disk and gives up its duties; it resumes them afterwards.
   while (true) {
     absl::Status status = writeOnce(command);
     if (!absl::IsResourceExhausted(status)) return status;
--- a/src/io/disk_task.h
+++ b/src/io/disk_task.h
@@ -1,5 +1,6 @@
 #pragma once
-// A task of its own for the disk: files are written aside, synced, renamed, the folder synced.
+// Durable file writes on a thread of their own: each file is written under a temporary name, synced
+// and renamed, then the folder is synced.
 #include <absl/status/statusor.h>
 
 #include <condition_variable>
@@ -17,10 +18,10 @@
 
 namespace peppergate {
 
-/// How the file layer is to fail in a rehearsal.
+/// An injected fault of the disk.
 enum class DiskFault : std::uint8_t { kNone, kSlow, kStall, kFull, kFailSync };
 
-/// The calls that writing a file is made of, so that a test can let each of them fail.
+/// The file system calls that are used, so that a test can make each of them fail.
 struct FileCalls {
   int (*openFile)(const char* path, int flags, unsigned mode);
   long (*writeSome)(int descriptor, const void* data, std::size_t size);
@@ -36,36 +37,36 @@
   static std::vector<std::string> namesIn(const char* path);
   static std::string contentOf(const char* path);
 };
-/// The system's own. Example: `writeFile(systemCalls(), folder, "a", "b")`.
+/// The operating system's file system calls.
 const FileCalls& systemCalls();
-/// Writes aside, syncs, renames, syncs the folder; `kResourceExhausted` where there was no space
-/// and nothing was changed, any other error where the disk can't be trusted any more.
-/// Example: `writeFile(systemCalls(), "/var/lib/peppergate", "voter.1", text).ok()`.
+/// Replaces a file durably: writes a temporary file, syncs it, renames it, syncs the folder. The
+/// error is `kResourceExhausted` if the disk was full and nothing was changed; after any other
+/// error the contents of the disk are unknown.
 absl::Status writeFile(const FileCalls& calls, const std::string& folder, const std::string& name,
                        std::string_view content);
 
-/// Example: `DiskTask disk(folder, [&](FileWritten done) { loop.post(...); });`
+/// Carries out write commands in order on its own thread, which also calls the completion handler.
 class DiskTask {
  public:
   using Answer = std::function<void(const FileWritten&)>;
-  /// `calls` must outlive it; only tests give others than the system's.
+  /// The file system calls must outlive it; only tests replace the system's.
   DiskTask(std::string folder, Answer answer, const FileCalls& calls = systemCalls());
   ~DiskTask();
   DiskTask(const DiskTask&) = delete;
   DiskTask& operator=(const DiskTask&) = delete;
 
-  /// Checks that the folder can be written, and reads its files. What never got its name is
-  /// removed. The names that are read are made to last first: a process may have ended between a
-  /// rename and the sync of the folder, and what is acted on from now on must not be undone by a
-  /// power loss. A full disk is read all the same.
+  /// Checks that the folder is writable, removes temporary files that were never renamed, and reads
+  /// the others. The folder is synced before the contents are returned: an earlier process may have
+  /// ended between a rename and the sync of the folder, and contents that are acted on must not be
+  /// undone by a power loss. A full disk is no error.
   static absl::StatusOr<std::map<std::string, std::string>> load(
       const std::string& folder, const FileCalls& calls = systemCalls());
-  /// Writes one file at once, for a new disk's identity. Example: `writeNow(folder, "a", "b")`.
+  /// Writes one file on the calling thread; used for the identity file of a new disk.
   static absl::Status writeNow(const std::string& folder, const std::string& name,
                                const std::string& content);
   void write(WriteFile command);
   void dropOlder(DropOlder command);
-  /// Fails from now on as told. Example: in a rehearsal.
+  /// Injects a fault into all later writes.
   void fault(DiskFault fault);
 
  private:
--- a/src/io/fresh_number.cc
+++ b/src/io/fresh_number.cc
@@ -8,7 +8,7 @@
 absl::StatusOr<std::uint64_t> freshNumber(const RandomSource& source) {
   std::uint64_t number = 0;
   if (source(&number, sizeof number) != static_cast<std::ptrdiff_t>(sizeof number))
-    return absl::UnavailableError("no random numbers for an identity");
+    return absl::UnavailableError("no random bytes available for an identity");
   return (number >> 1) | 1;
 }
 
--- a/src/io/fresh_number.h
+++ b/src/io/fresh_number.h
@@ -1,5 +1,5 @@
 #pragma once
-// Random identities from the operating system: of core machines, members and changes.
+// Random identities for cores, members and changes, from the operating system's random source.
 #include <absl/status/statusor.h>
 
 #include <cstddef>
@@ -8,13 +8,13 @@
 
 namespace peppergate {
 
-/// Fills a buffer with random bytes; returns how many came, or a negative number.
+/// Fills a buffer with random bytes; returns their count, or a negative number on failure.
 using RandomSource = std::function<std::ptrdiff_t(void* buffer, std::size_t size)>;
 
-/// A random odd number of 63 bits, never 0. Two machines with one number would vote as one, so
-/// without random bytes there is an error (kUnavailable) and no number.
+/// A random odd number of 63 bits, never 0. Two machines with the same identity would count as one
+/// voter, so there is no fallback: without random bytes the error is kUnavailable.
 absl::StatusOr<std::uint64_t> freshNumber(const RandomSource& source);
-/// The same from the kernel's own source; the process ends with a message where it fails.
+/// As above, from the kernel's random source; a failure ends the process with a message.
 std::uint64_t freshNumber();
 
 }  // namespace peppergate
--- a/src/io/http_answer.cc
+++ b/src/io/http_answer.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::size_t kLargestHead = 64U << 10;
-// How long an unused connection is kept where nothing was told; and how much sooner than told, so
-// that no request meets the other end closing it.
+// How long an idle connection is kept without a Keep-Alive header, and how much sooner than that
+// header's timeout it is closed, so that no request is sent on a connection that the peer closes.
 constexpr Duration kKeptUntold = seconds(4);
 constexpr Duration kSooner = seconds(1);
 
@@ -45,7 +45,7 @@
     }
     head_ = {};
     HeadFault fault = readAnswerHead(text.substr(0, size), toHead_, head_);
-    bytes.remove_prefix(bytes.size() - (text.size() - size));  // it ends in what came last
+    bytes.remove_prefix(bytes.size() - (text.size() - size));  // it ends in the latest bytes
     rest_.clear();
     scanner_ = {};
     if (fault != HeadFault::kNone || head_.status == 101) return bad();
--- a/src/io/http_answer.h
+++ b/src/io/http_answer.h
@@ -1,5 +1,5 @@
 #pragma once
-// An engine's answer taken from its bytes, and the events of a stream.
+// Incremental readers of an engine's response and of the events of a stream.
 #include <string>
 #include <string_view>
 
@@ -8,22 +8,21 @@
 
 namespace peppergate {
 
-/// Reads one answer; the heads before the final one (1xx) are left out.
-/// Example: `while (reader.next(bytes, body) != AnswerReader::Step::kMore) ...`
+/// Reads one response; interim heads (1xx) are skipped.
 class AnswerReader {
  public:
   enum class Step : std::uint8_t {
-    kMore,   // nothing but what was told before: more bytes have to come
-    kHead,   // `head()` is there
-    kBody,   // `body` holds what came of the body
-    kWhole,  // the answer is whole by its framing; what is left in `bytes` stands behind it
-    kBad,    // garbled
+    kMore,   // nothing new: more bytes are needed
+    kHead,   // `head()` is available
+    kBody,   // `body` holds received bytes of the body
+    kWhole,  // complete by its framing; the bytes that are left follow the response
+    kBad,    // malformed
   };
   explicit AnswerReader(bool toHead = false) : toHead_(toHead) {}
-  /// Takes from the front of `bytes` up to the next step.
+  /// Consumes input from its front up to the next step.
   Step next(std::string_view& bytes, std::string& body);
   HttpHead& head() { return head_; }
-  /// How long the connection may be kept after this answer; 0: not at all.
+  /// How long the connection may stay idle for reuse after this response; 0 if it must be closed.
   Duration keepTime() const;
 
  private:
@@ -34,29 +33,29 @@
   bool toHead_;
   Phase phase_ = Phase::kHead;
   HeadScanner scanner_;
-  std::string rest_;  // of a head that is not whole
+  std::string rest_;  // bytes of an incomplete head
   HttpHead head_;
   ChunkReader chunks_;
   std::uint64_t left_ = 0;
 };
 
-/// Cuts a stream into whole events, each ended by an empty line.
-/// Example: `std::string whole = splitter.take(bytes, dialect, marks);`
+/// Splits a stream into events, each ended by an empty line.
 class EventSplitter {
  public:
   struct Marks {
     std::optional<std::uint64_t> firstEvent, lastEvent;
     std::optional<WeightsVersion> newVersion;
   };
-  /// The whole events so far, as they came; their marks are added up.
+  /// Adds bytes and returns the events that are complete, unchanged. What they say is merged into
+  /// the last argument.
   std::string take(std::string bytes, const Dialect& dialect, Marks& marks);
-  /// What came behind the last whole event.
+  /// Removes and returns the bytes behind the last complete event.
   std::string takeRest() { return std::exchange(rest_, {}); }
   std::size_t waiting() const { return rest_.size(); }
 
  private:
   std::string rest_;
-  std::size_t lineStart_ = 0;  // of the first line in `rest_` whose end has not come
+  std::size_t lineStart_ = 0;  // of the first incomplete line in the buffer
 };
 
 }  // namespace peppergate
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -5,8 +5,8 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kLargestEvent = 4U << 20;    // of one that has not ended yet
-constexpr std::size_t kLargestAnswer = 16U << 20;  // of a call
+constexpr std::size_t kLargestEvent = 4U << 20;    // of an incomplete event of a stream
+constexpr std::size_t kLargestAnswer = 16U << 20;  // of a call's body
 
 std::string lowered(std::string text) {
   for (char& one : text)
@@ -59,7 +59,7 @@
 
 namespace {
 
-/// An attempt at an engine; its turns are told as they come.
+/// An attempt of a client's request; its events are reported as they arrive.
 class AttemptExchange final : public Exchange {
  public:
   using Table = std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>>;
@@ -111,7 +111,7 @@
     turned.bytes = std::move(bytes);
     taker_(std::move(turned));
   }
-  // What stands behind the last whole event of a body that is whole belongs to it as well.
+  // Bytes behind the last event belong to a complete body as well.
   void lastCame() override {
     std::string rest = splitter_.takeRest();
     if (rest.empty() || done) return;
@@ -137,7 +137,7 @@
   EventSplitter splitter_;
 };
 
-/// A short call; told once, with all of its answer.
+/// A short call, reported once with its complete response.
 class CallExchange final : public Exchange {
  public:
   using Table = std::unordered_map<Exchange*, std::shared_ptr<Exchange>>;
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -1,5 +1,5 @@
 #pragma once
-// Calls and attempts to engines over kept connections, each used again only under hygiene.
+// HTTP/1.1 client for calls and attempts to engines, with a pool of idle connections.
 #include <functional>
 #include <map>
 #include <memory>
@@ -9,27 +9,26 @@
 
 namespace peppergate {
 
-/// A connection is kept only after an answer that ended by its own length, carried the id that was
-/// asked, and had nothing behind it. Example: `client.attempt(open, [](AttemptTurned turned)
-/// {...})`.
+/// A connection is reused only after a response whose end was given by its own framing, that
+/// carried the id of the request, and that no further bytes followed.
 class HttpClient {
  public:
   using AttemptTaker = std::function<void(AttemptTurned)>;
   using CallTaker = std::function<void(const HttpAnswer&)>;
-  /// Whether an attempt is still wanted; asked right before its first byte is written.
+  /// Whether an attempt is still wanted; called right before its first byte is written.
   using StillWanted = std::function<bool()>;
   HttpClient(Loop& loop, const Dialect& dialect);
   ~HttpClient();
-  /// Sends one attempt; its turns are told as they come, never from inside this call. One that
-  /// isn't wanted any more is not written; `stillWanted` may cancel it from inside.
+  /// Sends one attempt and reports its events as they arrive, never from inside this call. An
+  /// attempt that isn't wanted any more is not written; `stillWanted` may cancel it from inside.
   void attempt(const OpenAttempt& command, AttemptTaker taker, StillWanted stillWanted = nullptr);
-  /// Ends an attempt and its connection; nothing of it is told any more.
+  /// Aborts an attempt and closes its connection; none of its events is reported any more.
   void cancel(AttemptId attempt);
-  /// Stops or goes on reading an attempt's answer. Example: for a client that reads slowly.
+  /// Pauses or resumes reading an attempt's response, while its client reads slowly.
   void pause(AttemptId attempt, bool paused);
-  /// A short call. Example: `client.call(dialect.call(poll), take)`.
+  /// Sends a short call.
   void call(const HttpCall& call, CallTaker taker);
-  /// Connections opened since the start; kept ones now. Example: for the status page.
+  /// Connections opened since the start, and idle ones in the pool now.
   std::uint64_t opened() const;
   std::size_t kept() const;
 
--- a/src/io/http_client_connection.cc
+++ b/src/io/http_client_connection.cc
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMostKeptPerAddress = 64, kMostKept = 2000;
 constexpr Duration kTick = milliseconds(500);
-constexpr Duration kKeptUnused = seconds(4);  // one that came up too late for its request
+constexpr Duration kKeptUnused = seconds(4);  // established too late for its request
 
 timeval toTimeval(Duration time) {
   return {static_cast<time_t>(time.microseconds / 1'000'000),
@@ -80,7 +80,7 @@
 }
 
 bool ClientConnection::write(std::shared_ptr<Exchange> exchange) {
-  // The last moment at which it can still be kept back. Asking may cancel it and close the socket.
+  // The last moment to hold the request back. The check may cancel it and close the socket.
   if (bootNow() >= exchange->writeBefore || !exchange->stillWanted()) {
     exchange->doomed = true;
     exchange->connection.reset();
@@ -90,8 +90,8 @@
     return true;
   }
   auto before = socket_.handed();
-  static_cast<void>(socket_.send(exchange->text));  // a failure is seen below, or by reading
-  if (socket_.handed() == before) {  // not a byte left, and none may leave unseen later
+  static_cast<void>(socket_.send(exchange->text));  // a failure is detected below, or by reading
+  if (socket_.handed() == before) {  // nothing was sent, and nothing may be sent unnoticed later
     exchange->connection.reset();
     close();
     return false;
@@ -118,7 +118,7 @@
   pool_.connections.erase(this);
 }
 
-// Ends the connection and what is under way on it.
+// Closes the connection and fails the exchange on it.
 void ClientConnection::fail() {
   auto keep = shared_from_this();
   auto exchange = exchange_;
@@ -131,7 +131,7 @@
 void ClientConnection::writable() {
   auto keep = shared_from_this();
   if (!connecting_) {
-    // An answer may have come before the other end stopped reading; so reading decides.
+    // A response may have arrived before the peer stopped reading, so reading decides.
     if (!socket_.flush()) {
       writeBroken_ = true;
       socket_.dropOutput();
@@ -145,8 +145,8 @@
   auto exchange = std::move(exchange_);
   if (!exchange || exchange->done) return close();
   if (!exchange->bounded) exchange->stopTimer();
-  // Bytes or an end that came before the request was written are no answer to it; as nothing of it
-  // has left, another engine may still get it.
+  // Bytes or a close that arrived before the request was written are no response to it. As nothing
+  // of it was sent, another engine may still get it.
   bool quiet = socket_.quiet();
   if (!quiet) close();
   if (!quiet || !write(exchange)) exchange->fail();
@@ -156,7 +156,7 @@
   auto keep = shared_from_this();
   auto result = socket_.read(pool_.buffer);
   if (result.outcome == HttpSocket::ReadOutcome::kNothing) return;
-  // Whatever an unused connection shows, its end or bytes that nobody asked for, it is done with.
+  // An idle connection that is closed by the peer or receives unrequested bytes isn't reused.
   if (result.outcome != HttpSocket::ReadOutcome::kBytes || !exchange_) return fail();
   take({pool_.buffer.data(), result.size});
 }
@@ -246,7 +246,7 @@
   if (same.size() >= kMostKeptPerAddress) return connection->close();
   if (keptCount >= kMostKept) dropOldest();
   connection->keptUntil = bootNow() + time;
-  connection->pause(false);  // its end, or bytes that nobody asked for, have to be seen
+  connection->pause(false);  // a close or unrequested bytes must be noticed
   kept[connection->address().value].push_back(connection.get());
   keptInOrder.push_back(*connection);
   ++keptCount;
@@ -269,7 +269,7 @@
   while (true) {
     auto found = kept.find(address.value);
     if (found == kept.end() || found->second.empty()) return nullptr;
-    auto connection = found->second.back()->shared_from_this();  // the one used last
+    auto connection = found->second.back()->shared_from_this();  // the most recently used
     unkeep(*connection);
     if (connection->keptUntil > bootNow() && connection->quiet()) return connection;
     connection->close();
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -1,5 +1,5 @@
 #pragma once
-// The client's connections to engines: one exchange at a time, kept between them under hygiene.
+// The HTTP client's connections to engines: one exchange at a time, pooled while idle.
 #include <boost/intrusive/list.hpp>
 #include <memory>
 #include <unordered_map>
@@ -14,53 +14,53 @@
 class ClientConnection;
 struct ConnectionPool;
 
-/// One request under way and what becomes of its answer.
+/// One request in progress and the handling of its response.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(ConnectionPool& pool, bool toHead) : pool(pool), reader(toHead) {}
   virtual ~Exchange();
-  /// The head came; false: the answer is not this request's. Example: another id.
+  /// Called with the response's head; false if it isn't this request's, by its id for instance.
   virtual bool headCame() = 0;
   virtual void bodyCame(std::string bytes) = 0;
-  /// The body is whole; told before `whole`, while it can still be cancelled.
+  /// The body is complete; called before completion is reported, while a cancel is still possible.
   virtual void lastCame() {}
   virtual void whole() = 0;
-  /// Nothing further comes; `written` tells whether a byte of it had left.
+  /// The exchange failed; `written` says whether any byte of the request was sent.
   virtual void failed() = 0;
-  /// Whether it shall still be sent; asked right before its first byte is written.
+  /// Whether the request is still to be sent; called right before its first byte is written.
   virtual bool stillWanted() { return true; }
-  /// From now on it may run. Example: an attempt tells it.
+  /// The request was written, so an engine may run it from now on.
   virtual void tellWritten() = 0;
-  /// Takes it out of the tables; nothing is told after it.
+  /// Removes the exchange from its table, right before its outcome is reported.
   virtual void forget() = 0;
 
-  /// Ends it without an answer. Example: its connection was cut.
+  /// Ends the exchange without a complete response.
   void fail();
-  /// Ends it with its answer whole.
+  /// Ends the exchange with its complete response.
   void finish();
-  /// Tells what could not be told at once. Called by the pool only.
+  /// Reports a write or failure that could not be reported from inside the call that caused it.
   void tellPending();
-  /// Calls `fail` when the time is up. Example: a call's time limit.
+  /// Calls `fail` after a timeout.
   void startTimer(Duration time);
   void stopTimer();
 
   ConnectionPool& pool;
   Address address;
-  std::string text;  // the whole request
+  std::string text;  // the formatted request
   MonotonicTime writeBefore = kForever;
-  Duration connectTimeout = seconds(1);  // where no timer bounds the whole exchange
+  Duration connectTimeout = seconds(1);  // unless the timer bounds the whole exchange
   AnswerReader reader;
   std::shared_ptr<ClientConnection> connection;
   bool written = false, told = false, doomed = false, done = false, paused = false;
-  bool timed = false;          // a timer runs
-  bool ownConnection = false;  // neither on a kept connection nor kept after it
-  bool bounded = false;        // it bounds the whole exchange, not the connect alone
+  bool timed = false;          // the timer is active
+  bool ownConnection = false;  // uses a new connection and closes it afterwards
+  bool bounded = false;        // the timer bounds the whole exchange, not only the connect
 
  private:
   event timer_;
 };
 
-/// Kept connections in order of their keeping.
+/// Hook of the list of idle connections, which is in the order in which they became idle.
 struct KeptHook
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
   MonotonicTime keptUntil;
@@ -71,9 +71,10 @@
                                public std::enable_shared_from_this<ClientConnection> {
  public:
   ClientConnection(ConnectionPool& pool, Address address, int descriptor);
-  /// Waits for the connection to come up, then writes.
+  /// Waits until the connection is established, then writes the request.
   void connectFor(std::shared_ptr<Exchange> exchange);
-  /// Writes at once; false: nothing was handed over and the connection is closed.
+  /// Writes the request at once. False if no byte of it could be sent; the connection is closed
+  /// then. A request that isn't wanted any more is not written; its failure is reported later.
   bool write(std::shared_ptr<Exchange> exchange);
   void pause(bool paused);
   void close();
@@ -94,20 +95,20 @@
   bool connecting_ = false, writeBroken_ = false;
 };
 
-/// What the connections of one client share; the pool of kept ones.
+/// State shared by the connections of one client, with the pool of idle ones.
 struct ConnectionPool {
   ConnectionPool(Loop& loop, const Dialect& dialect);
   ~ConnectionPool();
-  /// Sends on a kept connection or a new one; its end is told later, never from inside.
+  /// Sends on an idle connection or a new one. The outcome is reported later, never from inside.
   void start(const std::shared_ptr<Exchange>& exchange);
   void keep(const std::shared_ptr<ClientConnection>& connection, Duration time);
-  /// Takes a connection out of the kept ones, if it is there.
+  /// Removes a connection from the pool, if it is idle.
   void unkeep(ClientConnection& connection);
   void tellSoon(std::shared_ptr<Exchange> exchange);
 
   Loop& loop;
   const Dialect& dialect;
-  std::vector<char> buffer;  // what is read at once
+  std::vector<char> buffer;  // for one read
   std::unordered_map<ClientConnection*, std::shared_ptr<ClientConnection>> connections;
   std::unordered_map<std::string, std::vector<ClientConnection*>> kept;
   boost::intrusive::list<KeptHook, boost::intrusive::constant_time_size<false>> keptInOrder;
--- a/src/io/http_listener.cc
+++ b/src/io/http_listener.cc
@@ -13,7 +13,7 @@
 
 constexpr int kBacklog = 1024;
 constexpr Duration kTick = milliseconds(100);
-constexpr Duration kLeavingIdle = milliseconds(300);  // a request may be on its way
+constexpr Duration kLeavingIdle = milliseconds(300);  // a request may be in transit
 constexpr Duration kLinger = seconds(1);
 
 }  // namespace
@@ -46,7 +46,7 @@
   static void onAcceptError(evconnlistener* listener, void* argument) {
     auto* state = static_cast<State*>(argument);
     if (errno != EMFILE && errno != ENFILE && errno != ENOBUFS && errno != ENOMEM) return;
-    // The one idle longest gives way to the one that comes; else new ones wait a little.
+    // Closes the longest idle connection for the new one; without any, accepting pauses for a tick.
     auto& idle = state->context.waits[static_cast<std::size_t>(ConnectionWait::kIdle)];
     if (!idle.empty()) return idle.front().overdue();
     evconnlistener_disable(listener);
@@ -114,13 +114,13 @@
 absl::Status HttpListener::listen(const Address& address) {
   sockaddr_in place{};
   if (!parseAddress(address.value, place))
-    return absl::InvalidArgumentError("'" + address.value + "' is no address");
+    return absl::InvalidArgumentError("'" + address.value + "' is not a valid address");
   state_->listener =
       evconnlistener_new_bind(state_->context.loop.base(), &State::onAccept, state_.get(),
                               LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
                               kBacklog, reinterpret_cast<sockaddr*>(&place), sizeof place);
   if (state_->listener == nullptr)
-    return absl::UnavailableError("can't listen at " + address.value + ": " + strerror(errno));
+    return absl::UnavailableError("cannot listen on " + address.value + ": " + strerror(errno));
   evconnlistener_set_error_cb(state_->listener, &State::onAcceptError);
   return absl::OkStatus();
 }
--- a/src/io/http_listener.h
+++ b/src/io/http_listener.h
@@ -1,5 +1,5 @@
 #pragma once
-// The clients' listener: HTTP/1.1 read strictly, answers passed on as they come.
+// The clients' HTTP/1.1 listener: strict parsing, responses forwarded as they arrive.
 #include <absl/status/status.h>
 
 #include <functional>
@@ -10,8 +10,7 @@
 
 namespace peppergate {
 
-/// Example: `HttpListener listener(loop, dialect, {onRequest, onGone, onSlow});
-/// listener.listen(address);`
+/// Accepts clients' connections, reports their requests and sends the responses.
 class HttpListener {
  public:
   struct Hooks {
@@ -22,20 +21,20 @@
   HttpListener(Loop& loop, const Dialect& dialect, Hooks hooks);
   ~HttpListener();
   absl::Status listen(const Address& address);
-  /// What clients may send from now on. Example: with each new configuration.
+  /// Sets the limits of clients' requests; called for each new configuration.
   void limits(const RequestLimits& limits);
   void answer(const AnswerHead& command);
   void answer(const AnswerBody& command);
   void answer(const AnswerDone& command);
   void answer(const RefuseRequest& command);
-  /// Whether the client of a request without its answer is still there, as far as its socket tells.
-  /// If it has left, `onGone` is called from inside. For use before more work is begun for it.
+  /// Whether the client of an unfinished request is still connected, by its socket's state. If it
+  /// isn't, `onGone` is called from inside. Called before more work is started for the request.
   bool clientPresent(RequestId request);
-  /// From now on each answer ends its connection, and idle ones end. Example: on SIGTERM.
+  /// Starts to drain: each response closes its connection from now on, and idle ones are closed.
   void leave();
-  /// Takes no new connections any more; open ones go on. Example: once none are sent here.
+  /// Accepts no new connections; open ones continue.
   void close();
-  /// Open connections. Example: the process goes when there are none.
+  /// The number of open connections; a draining process ends when there are none.
   std::size_t connections() const;
 
  private:
--- a/src/io/http_listener_connection.cc
+++ b/src/io/http_listener_connection.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kSlowAbove = 256U << 10, kFastBelow = 64U << 10;
-constexpr std::size_t kMostAhead = 64U << 10;  // bytes of later requests read before their turn
+constexpr std::size_t kMostAhead = 64U << 10;  // bytes of later requests read while one is answered
 constexpr std::size_t kKeptCapacity = 64U << 10;
 
 std::string numberText(std::uint64_t number, int base = 10) {
@@ -33,7 +33,7 @@
   context_.waits[static_cast<std::size_t>(wait)].push_back(*this);
 }
 
-// The wait that fits what the connection is at; a wait of the same kind goes on.
+// Starts the wait that fits the connection's state, unless it waits for the same already.
 void ListenerConnection::chooseWait() {
   ConnectionWait wait = ConnectionWait::kNothing;
   if (phase_ == Phase::kClosed) return;
@@ -52,19 +52,19 @@
   if (result.outcome == HttpSocket::ReadOutcome::kFailed) return failed();
   if (result.outcome == HttpSocket::ReadOutcome::kEnd) return ended();
   std::string_view bytes(context_.buffer.data(), result.size);
-  if (phase_ == Phase::kLinger || phase_ == Phase::kEnding) return;  // read away
-  // Behind an answer that was not written yet, what came ahead is taken first.
+  if (phase_ == Phase::kLinger || phase_ == Phase::kEnding) return;  // discarded
+  // Pipelined bytes are buffered while a response is in progress or unsent, to keep their order.
   if (phase_ == Phase::kAnswering || (phase_ == Phase::kHead && dirty_ && !rest_.empty())) {
     rest_ += bytes;
     if (rest_.size() >= kMostAhead) pauseReading();
     return;
   }
-  if (phase_ == Phase::kBody) waitFor(ConnectionWait::kBody);  // a body is bound by its pauses
+  if (phase_ == Phase::kBody) waitFor(ConnectionWait::kBody);  // the timeout is between two reads
   take(bytes);
   chooseWait();
 }
 
-// No more is read for now; that the client leaves must be seen all the same.
+// Stops reading for now, but still detects that the client disconnects.
 void ListenerConnection::pauseReading() {
   socket_.watchRead(false);
   socket_.watchClose(true);
@@ -75,9 +75,9 @@
   ended();
 }
 
-// The client's FIN. A client that closed sends the same as one that ended its sending side only,
-// and while its request has no answer nothing is written by which the two could be told apart. So
-// both are taken as having left: no engine works for a client that may be gone.
+// The client sent a FIN. This may be a close or only a half-close, and as nothing is written before
+// the request has a response, the two can't be told apart. Both count as a disconnect, so that no
+// engine works for a client that may have left.
 void ListenerConnection::ended() {
   readEnded_ = true;
   socket_.watchRead(false);
@@ -116,7 +116,7 @@
   phase_ = Phase::kClosed;
   waitFor(ConnectionWait::kNothing);
   socket_.close();
-  context_.connections.erase(this);  // whoever called holds it
+  context_.connections.erase(this);  // the caller holds a reference
 }
 
 void ListenerConnection::writable() {
@@ -153,7 +153,7 @@
   std::size_t waiting = socket_.waiting() + pending_.size();
   if (phase_ == Phase::kEnding && waiting == 0) {
     if (!linger_ || readEnded_) return drop();
-    // Closing with unread bytes would reset, and the client might never see its answer.
+    // Closing with unread bytes resets the connection, and the client might lose its response.
     phase_ = Phase::kLinger;
     socket_.shutdownWrite();
     socket_.watchRead(true);
@@ -169,12 +169,12 @@
   auto keep = shared_from_this();
   switch (waiting_) {
     case ConnectionWait::kIdle:
-      // Unread bytes would be a request on its way: that one is still taken.
+      // Unread bytes belong to a request that has arrived: it is still handled.
       if (!socket_.quiet()) return readable();
       return drop();
     case ConnectionWait::kHead:
     case ConnectionWait::kBody:
-      return turnAway(408, "the request did not come in time");
+      return turnAway(408, "timed out waiting for the request");
     case ConnectionWait::kWrite:
       return failed();
     case ConnectionWait::kLinger:
@@ -208,7 +208,7 @@
   }
   if (closeAfter_) pending_ += "Connection: close\r\n";
   else if (head_.http10) pending_ += "Connection: keep-alive\r\n";
-  if (!closeAfter_) {  // a second less than it is kept, so that none is sent to a closed one
+  if (!closeAfter_) {  // one second less than it is kept, so that no request meets its close
     auto told = static_cast<std::uint64_t>(std::max(inSeconds(context_.limits.idle) - 1, 1.0));
     pending_ += "Keep-Alive: timeout=";
     pending_ += numberText(told);
@@ -224,7 +224,7 @@
     case BodyFraming::kNone:
       return;
     case BodyFraming::kLength:
-      if (bytes.size() > left_) bytes = bytes.substr(0, left_);  // never more than was told
+      if (bytes.size() > left_) bytes = bytes.substr(0, left_);  // never more than Content-Length
       left_ -= bytes.size();
       pending_ += bytes;
       break;
@@ -248,8 +248,8 @@
     if (framing_ == BodyFraming::kChunked) pending_ += "0\r\n\r\n";
     return endAnswer();
   }
-  // No last chunk, or fewer bytes than told: it can't be taken for whole. Where only the close
-  // would tell its end, it is reset.
+  // Without the last chunk, or with fewer bytes than Content-Length, the client can tell that the
+  // response is truncated. A response that ends with the connection is reset instead.
   context_.answering.erase(request_.value);
   if (headSent_ && framing_ == BodyFraming::kUntilClose) {
     socket_.close(true);
--- a/src/io/http_listener_connection.h
+++ b/src/io/http_listener_connection.h
@@ -1,5 +1,6 @@
 #pragma once
-// One client's connection: requests are read one after another, each answered before the next.
+// One client's connection. Requests are handled one after another: each is answered before the next
+// is read.
 #include <array>
 #include <boost/intrusive/list.hpp>
 #include <memory>
@@ -13,15 +14,15 @@
 
 namespace peppergate {
 
-/// What a connection waits for; each kind of wait has one length, so its list is in order of age.
+/// What a connection waits for. Each kind of wait has one timeout, so its list is ordered by age.
 enum class ConnectionWait : std::uint8_t { kIdle = 0, kHead, kBody, kWrite, kLinger, kNothing };
 
 class ListenerConnection;
 
-/// One in the lists of waits; it leaves its list by itself. Example: `waits[kind].push_back(one)`.
+/// An element of the lists of waits; unlinks itself when destroyed.
 struct WaitingConnection
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
-  /// The wait took too long; afterwards it is over or begins anew.
+  /// The wait has timed out; the handler must end it or restart it.
   virtual void overdue() = 0;
   MonotonicTime since;
 
@@ -29,15 +30,15 @@
   ~WaitingConnection() = default;
 };
 
-/// What the connections of one listener share.
+/// State shared by the connections of one listener.
 struct ListenerContext {
   using WaitList =
       boost::intrusive::list<WaitingConnection, boost::intrusive::constant_time_size<false>>;
   ListenerContext(Loop& loop, const Dialect& dialect, HttpListener::Hooks hooks)
       : loop(loop), dialect(dialect), hooks(std::move(hooks)), buffer(64U << 10) {}
-  /// Asks for a connection's output to be written once the present event has been dealt with.
+  /// Schedules a write of the connection's output after the current event.
   void flushSoon(ListenerConnection& connection);
-  /// How long a wait may last. Example: `context.longest(ConnectionWait::kIdle)`.
+  /// The timeout of a kind of wait.
   Duration longest(ConnectionWait wait) const;
 
   Loop& loop;
@@ -46,7 +47,7 @@
   RequestLimits limits;
   bool leaving = false;
   std::uint64_t lastRequest = 0;
-  std::vector<char> buffer;  // what is read at once
+  std::vector<char> buffer;  // for one read
   std::unordered_map<ListenerConnection*, std::shared_ptr<ListenerConnection>> connections;
   std::unordered_map<std::uint64_t, ListenerConnection*> answering;
   std::array<WaitList, static_cast<std::size_t>(ConnectionWait::kNothing)> waits;
@@ -54,7 +55,7 @@
   event flushEvent, tickEvent;
 };
 
-/// Example: `std::make_shared<ListenerConnection>(context, descriptor)->start()`.
+/// A client's connection, owned by its listener's context.
 class ListenerConnection final : public HttpSocketOwner,
                                  public WaitingConnection,
                                  public std::enable_shared_from_this<ListenerConnection> {
@@ -69,12 +70,12 @@
   void answerBody(std::string_view bytes);
   void answerDone(bool whole);
   void refuse(const RefuseRequest& refusal);
-  /// Whether the client is known to be still there. If it isn't, its request ends as `ended` ends
-  /// it. Sees a close that was received and not read yet.
+  /// Whether the client is still connected; detects a close that was received but not read yet. If
+  /// the client has left, its request is cancelled.
   bool clientPresent();
-  /// Writes what was answered; then the next request is read. Called by the context only.
+  /// Writes the pending output, then reads the next request. Called by the context only.
   void flush();
-  /// False: its output is already asked to be written. Called by the context only.
+  /// False if a flush is scheduled already. Called by the context only.
   bool markDirty() { return !std::exchange(dirty_, true); }
   void overdue() override;
 
@@ -103,19 +104,19 @@
   HttpSocket socket_;
   Phase phase_ = Phase::kHead;
   ConnectionWait waiting_ = ConnectionWait::kNothing;
-  std::string rest_;     // bytes that came and were not looked at yet
-  std::string pending_;  // of an answer, not handed to the socket yet
+  std::string rest_;     // received bytes that were not parsed yet
+  std::string pending_;  // response bytes that were not passed to the socket yet
   bool dirty_ = false, readEnded_ = false, linger_ = false;
-  // The present request.
+  // The current request.
   HeadScanner scanner_;
   HttpHead head_;
   std::shared_ptr<WireRequest> wire_;
   ChunkReader chunks_;
   RequestId request_;
   std::string clientId_;
-  // Its answer.
+  // Its response.
   BodyFraming framing_ = BodyFraming::kNone;
-  std::uint64_t left_ = 0;  // of an answer with a length
+  std::uint64_t left_ = 0;  // of a response with a Content-Length
   bool headSent_ = false, closeAfter_ = false, slow_ = false;
 };
 
--- a/src/io/http_listener_request.cc
+++ b/src/io/http_listener_request.cc
@@ -1,4 +1,4 @@
-// The reading half of a client's connection: heads, bodies, and what is refused unheard.
+// The request side of a client's connection: reads heads and bodies and rejects invalid ones.
 #include "io/http_listener_connection.h"
 
 namespace peppergate {
@@ -10,16 +10,16 @@
   std::string_view kind;
 };
 constexpr Refused kRefused[] = {
-    {HeadFault::kMalformed, 400, "the request is not well-formed"},
-    {HeadFault::kVersion, 505, "this version of HTTP is not spoken"},
-    {HeadFault::kEncoding, 501, "this transfer encoding is not known"},
-    {HeadFault::kExpectation, 417, "this expectation can't be met"},
-    {HeadFault::kMethod, 501, "this method is not known"},
+    {HeadFault::kMalformed, 400, "malformed request"},
+    {HeadFault::kVersion, 505, "HTTP version not supported"},
+    {HeadFault::kEncoding, 501, "transfer encoding not supported"},
+    {HeadFault::kExpectation, 417, "expectation not supported"},
+    {HeadFault::kMethod, 501, "method not supported"},
 };
 
-constexpr std::size_t kReserved = 64U << 10;  // of a body that is told and may never come
+constexpr std::size_t kReserved = 64U << 10;  // of an announced body, which may never arrive
 
-// Host and path, also where the target is a whole address.
+// Returns the host and the path, also for a target in absolute form.
 std::pair<std::string_view, std::string_view> placeOf(std::string_view target,
                                                       std::string_view host) {
   constexpr std::string_view kScheme = "http://";
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-// Takes bytes in order until an answer has to come first.
+// Parses received bytes until a response has to be sent first.
 void ListenerConnection::take(std::string_view bytes) {
   while (phase_ == Phase::kHead || phase_ == Phase::kBody)
     if (phase_ == Phase::kHead ? !takeHead(bytes) : !takeBody(bytes)) return;
@@ -43,10 +43,10 @@
   else if (phase_ == Phase::kEnding && !bytes.empty()) linger_ = true;
 }
 
-// False: more has to come, or the connection is over.
+// False if more bytes are needed or the connection is closing.
 bool ListenerConnection::takeHead(std::string_view& bytes) {
   if (rest_.empty()) {
-    while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);  // some send one behind a body
+    while (bytes.starts_with("\r\n")) bytes.remove_prefix(2);  // sent by some clients after a body
     if (bytes.empty()) return false;
   } else {
     rest_ += bytes;
@@ -56,19 +56,19 @@
   std::string_view text = rest_.empty() ? bytes : std::string_view(rest_);
   HeadScanner::Found found = scanner_.scan(text);
   if (found == HeadScanner::Found::kBad) {
-    // A lone return may be the first half of an empty line.
+    // A lone carriage return may be the first half of an empty line.
     if (text == "\r") found = HeadScanner::Found::kPartial;
     else return turnAway(400, kRefused[0].kind), false;
   }
   std::size_t size = found == HeadScanner::Found::kWhole ? scanner_.size() : text.size();
-  if (size > context_.limits.headerBytes) return turnAway(431, "the head is too large"), false;
+  if (size > context_.limits.headerBytes) return turnAway(431, "request head too large"), false;
   if (found == HeadScanner::Found::kPartial) {
     if (rest_.empty()) rest_ = bytes;
     return false;
   }
   bool good = headDone(text.substr(0, size));
   std::size_t behind = text.size() - size;
-  bytes.remove_prefix(bytes.size() - behind);  // a head ends in the bytes that came last
+  bytes.remove_prefix(bytes.size() - behind);  // the head ends in the bytes received last
   rest_.clear();
   if (phase_ == Phase::kBody && bytes.empty()) askForBody();
   return good && (phase_ != Phase::kBody || !bytes.empty());
@@ -94,7 +94,7 @@
   chunks_ = {};
   if (head_.framing == BodyFraming::kLength) {
     if (*head_.length > context_.limits.bodyBytes)
-      return turnAway(413, "the body is too large"), false;
+      return turnAway(413, "request body too large"), false;
     wire_->body.reserve(std::min<std::size_t>(*head_.length, kReserved));
   }
   return true;
@@ -114,9 +114,9 @@
     if (wire_->body.size() < *head_.length) return false;
   } else {
     auto found = chunks_.read(bytes, wire_->body);
-    if (found == ChunkReader::Found::kBad) return turnAway(400, "a chunk is broken"), false;
+    if (found == ChunkReader::Found::kBad) return turnAway(400, "malformed chunk"), false;
     if (wire_->body.size() > context_.limits.bodyBytes)
-      return turnAway(413, "the body is too large"), false;
+      return turnAway(413, "request body too large"), false;
     if (found == ChunkReader::Found::kMore) return false;
   }
   arrived();
@@ -141,18 +141,18 @@
   int status = context_.dialect.readRequest(wire_, event);
   clientId_ = event.clientId;
   wire_.reset();
-  if (status > 0) return refuse({request_, status, "the request can't be read", {}});
+  if (status > 0) return refuse({request_, status, "invalid request", {}});
   event.request = request_;
   context_.hooks.onRequest(std::move(event));
 }
 
-// Refuses what was not read to its end; nothing behind it can be trusted.
+// Rejects a request that was not read to its end, and closes: the bytes behind it can't be framed.
 void ListenerConnection::turnAway(int status, std::string_view kind) {
   RequestArrived event;
   if (phase_ == Phase::kBody && wire_) {
     request_ = {};
     fillEvent(event);
-    context_.dialect.readRequest(wire_, event);  // for the client's id alone
+    context_.dialect.readRequest(wire_, event);  // only for the client's request id
   }
   wire_.reset();
   writeRefusal({{}, status, kind, {}}, event.clientId, true);
--- a/src/io/http_parse.cc
+++ b/src/io/http_parse.cc
@@ -43,14 +43,15 @@
   });
 }
 
-// A header line without its end: a token, at once a colon, a clean value.
+// Whether a header line without its CRLF is a token, a colon right behind it, and a value without
+// control characters.
 bool goodHeaderLine(std::string_view line) {
   std::size_t colon = 0;
   while (colon < line.size() && kToken[static_cast<unsigned char>(line[colon])]) ++colon;
   return colon > 0 && colon < line.size() && line[colon] == ':' && clean(line.substr(colon + 1));
 }
 
-// Calls with each element of a comma list. Example: of `Connection`.
+// Calls the callback with each element of a comma-separated list.
 template <class Take>
 void eachElement(std::string_view list, Take take) {
   while (!list.empty()) {
@@ -117,7 +118,7 @@
   bool done = false;
 
   static HeadTaker& of(http_parser* parser) { return *static_cast<HeadTaker*>(parser->data); }
-  // The text is whole and not folded, so each of these comes once for each piece.
+  // The head is complete and not folded, so the parser reports each part in one call.
   static int target(http_parser* parser, const char* at, std::size_t size) {
     of(parser).head.target.append(at, size);
     return 0;
@@ -138,7 +139,7 @@
   }
   static int complete(http_parser* parser) {
     of(parser).done = true;
-    return 2;  // whatever body follows is framed by us
+    return 2;  // the body is framed by this module, not by the library
   }
 };
 
@@ -170,7 +171,7 @@
   if (type == HTTP_REQUEST) head.method = http_method_str(static_cast<http_method>(parser.method));
   else head.status = static_cast<int>(parser.status_code);
   for (const auto& [name, value] : head.headers) readFrameWord(name, value, head, words);
-  // Anything told twice, or both ways, may be read differently by someone else.
+  // Another party may read repeated or contradicting framing headers differently.
   if (words.lengths > 1 || words.encodings > 1 || words.badLength) return HeadFault::kMalformed;
   if (words.lengths > 0 && words.encodings > 0) return HeadFault::kMalformed;
   if (words.encodings > 0 && head.http10) return HeadFault::kMalformed;
@@ -212,7 +213,7 @@
 
 HeadScanner::Found HeadScanner::scan(std::string_view bytes) {
   if (next_ == 0 && !bytes.empty() && !kToken[static_cast<unsigned char>(bytes[0])])
-    return Found::kBad;  // no request and no answer begins like this
+    return Found::kBad;  // no request or response starts with such a character
   while (next_ < bytes.size()) {
     auto end = bytes.find('\n', next_);
     if (end == std::string_view::npos) return Found::kPartial;
--- a/src/io/http_parse.h
+++ b/src/io/http_parse.h
@@ -1,6 +1,7 @@
 #pragma once
-// Heads and chunks of HTTP/1.x, read strictly. Debian's parser library is built without its strict
-// checks, so lines are checked here before it sees them, and bodies are framed here.
+// Strict parser for HTTP/1.x heads and chunked bodies. Debian builds its http_parser library
+// without the strict checks, so lines are checked here before they are passed to it. Body framing
+// is decided here as well.
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -13,29 +14,26 @@
 
 namespace peppergate {
 
-/// Compares header names and tokens. Example: `sameToken("Close", "close")`.
+/// Compares header names or tokens without regard to ASCII case.
 bool sameToken(std::string_view one, std::string_view other);
-/// Takes blanks off both ends. Example: `trimmed(" 5 ") == "5"`.
+/// Removes spaces and tabs from both ends.
 std::string_view trimmed(std::string_view text);
-/// Whether a header concerns one connection or a body's framing only, never the other side.
-/// Example: `isConnectionHeader("keep-alive")`.
+/// Whether a header concerns only one connection or a body's framing, so that it isn't forwarded.
 bool isConnectionHeader(std::string_view name);
-/// Digits only and small enough. Example: `*readLength("42") == 42`.
+/// Parses a length of decimal digits; nothing if there is another character or too many digits.
 std::optional<std::uint64_t> readLength(std::string_view text);
 
-/// Finds the end of a head while its bytes come. Every line ends in CRLF, none is folded, no blank
-/// stands before a colon, no control character anywhere. Example:
-/// `HeadScanner scanner; if (scanner.scan(bytes) == HeadScanner::Found::kWhole)
-/// use(scanner.size());`
+/// Finds the end of a head while its bytes arrive. Requires that every line ends in CRLF, and
+/// rejects folded lines, blanks before a colon, and control characters.
 class HeadScanner {
  public:
   enum class Found : std::uint8_t { kPartial, kWhole, kBad };
-  /// `bytes` are all of the head so far, from its first line on.
+  /// Takes all bytes of the head received so far, from its first line on.
   Found scan(std::string_view bytes);
   std::size_t size() const { return next_; }
 
  private:
-  std::size_t next_ = 0;  // the first line not looked at yet
+  std::size_t next_ = 0;  // start of the first line that was not checked yet
 };
 
 enum class BodyFraming : std::uint8_t { kNone, kLength, kChunked, kUntilClose };
@@ -48,37 +46,36 @@
   kMethod
 };
 
-/// One head as read; names and values as sent, values without the blanks round them.
+/// A parsed head. Names and values are as sent, but for blanks around values.
 struct HttpHead {
   std::string method, target;  // of a request
-  int status = 0;              // of an answer
+  int status = 0;              // of a response
   std::string reason;
   bool http10 = false;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string host;
   BodyFraming framing = BodyFraming::kNone;
-  std::optional<std::uint64_t> length;  // as told, also where no body follows
-  bool keepAlive = true;                // by version and Connection
-  bool closeTold = false;               // `Connection: close` was there
+  std::optional<std::uint64_t> length;  // Content-Length, even if no body follows
+  bool keepAlive = true;                // from the version and `Connection`
+  bool closeTold = false;               // `Connection: close` was present
   bool expectContinue = false;
   std::optional<Duration> keepTime;  // `Keep-Alive: timeout=N`
 };
 
-/// Reads a whole request head that a scanner has passed. Example:
-/// `if (readRequestHead(text, head) != HeadFault::kNone) refuse(400);`
+/// Parses a complete request head that the scanner has accepted.
 HeadFault readRequestHead(std::string_view text, HttpHead& head);
-/// Reads a whole answer head that a scanner has passed; of an answer to HEAD no body comes.
+/// Parses a complete response head that the scanner has accepted. A response to HEAD has no body.
 HeadFault readAnswerHead(std::string_view text, bool toHead, HttpHead& head);
 
-/// The HTTP library's words for a status. Example: `reasonOf(503) == "Service Unavailable"`.
+/// The standard reason phrase of a status, as "Service Unavailable" for 503.
 std::string_view reasonOf(int status);
 
-/// Takes a chunked body apart. Example: `while (reader.read(bytes, plain) == Found::kMore) ...`
+/// Decodes a chunked body.
 class ChunkReader {
  public:
   enum class Found : std::uint8_t { kMore, kDone, kBad };
-  /// Takes from the front of `bytes` and adds the plain body to `plain`; after kDone what is left
-  /// in `bytes` stands behind the body.
+  /// Consumes input from its front and appends the decoded bytes to the body. After kDone, the
+  /// input that is left follows the body.
   Found read(std::string_view& bytes, std::string& plain);
 
  private:
@@ -97,10 +94,10 @@
   Found go(State next);
   Found step(char byte);
   Found stepSize(char byte);
-  /// A byte of an extension or a trailer; a carriage return leads to `end`.
+  /// Consumes a byte of an extension or a trailer; a carriage return leads to the end state.
   Found stepText(char byte, State end, std::size_t largest);
   State state_ = State::kSize;
-  std::uint64_t left_ = 0;  // of the present chunk
+  std::uint64_t left_ = 0;  // of the current chunk
   std::size_t seen_ = 0;    // digits of a size, or bytes of an extension or of all trailers
   std::size_t trailerLine_ = 0;
 };
--- a/src/io/http_socket.cc
+++ b/src/io/http_socket.cc
@@ -19,7 +19,7 @@
   setsockopt(descriptor, level, name, &value, sizeof value);
 }
 
-// A machine without power says nothing: what was sent to it, or a probe, ends the connection.
+// A machine that lost power sends no FIN; unacknowledged data or probes end the connection instead.
 constexpr int kUserTimeoutMilliseconds = 3000;
 constexpr int kProbeAfterSeconds = 2;
 constexpr int kProbePaceSeconds = 1;
@@ -125,7 +125,7 @@
 }
 
 bool HttpSocket::flush() {
-  // Not evbuffer_write: a write to an ended connection would raise SIGPIPE there.
+  // evbuffer_write would raise SIGPIPE if the connection is closed.
   while (waiting() > 0) {
     std::array<evbuffer_iovec, 16> parts;
     int count = evbuffer_peek(output_, -1, nullptr, parts.data(), parts.size());
--- a/src/io/http_socket.h
+++ b/src/io/http_socket.h
@@ -1,6 +1,6 @@
 #pragma once
-// One non-blocking TCP socket on the loop: read when there is something, written to the kernel
-// directly; only what the kernel does not take at once waits in a buffer.
+// One non-blocking TCP socket on the loop. Writes go to the kernel directly; only what it doesn't
+// accept at once is buffered.
 #include <event2/event.h>
 #include <event2/event_struct.h>
 
@@ -14,19 +14,19 @@
 
 namespace peppergate {
 
-/// Told by its socket; a socket may be closed from inside either.
+/// Receives a socket's events; the socket may be closed from inside each handler.
 class HttpSocketOwner {
  public:
   virtual void readable() = 0;
   virtual void writable() = 0;
-  /// The other end closed; told only while `watchClose` is on.
+  /// The peer closed the connection; reported only while `watchClose` is on.
   virtual void peerClosed() {}
 
  protected:
   ~HttpSocketOwner() = default;
 };
 
-/// Example: `HttpSocket socket(base, descriptor, owner); socket.watchRead(true);`
+/// Owns a connected or connecting descriptor and reports its events to its owner.
 class HttpSocket {
  public:
   enum class ReadOutcome : std::uint8_t { kBytes, kNothing, kEnd, kFailed };
@@ -39,38 +39,38 @@
   HttpSocket(const HttpSocket&) = delete;
   HttpSocket& operator=(const HttpSocket&) = delete;
 
-  /// Starts a connection; below 0: none could be started, `errno` says why. Dead machines end it
-  /// within about three seconds. Example: `int descriptor = HttpSocket::connectTo(address);`
+  /// Starts to connect and returns the descriptor; negative on failure, with the reason in `errno`.
+  /// The connection fails within about three seconds of the other machine's death.
   static int connectTo(const Address& address);
-  /// An accepted connection's options. Example: with each accept.
+  /// Sets the options of an accepted connection.
   static void setAccepted(int descriptor);
 
   void watchRead(bool wanted);
   void watchWrite(bool wanted);
-  /// Tells of the other end's close while nothing is read, where the system can (EPOLLRDHUP).
+  /// Reports the peer's close while reading is paused, if the system supports it (EPOLLRDHUP).
   void watchClose(bool wanted);
-  /// Reads once. Example: `auto result = socket.read(buffer);`
+  /// Reads once, without blocking.
   ReadResult read(std::span<char> into);
-  /// Writes in order, as much as the kernel takes now; the rest follows. False: the connection
-  /// failed. Example: `if (!socket.send(text)) gone();`
+  /// Sends in order, as much as the kernel accepts now, and buffers the rest. False if the
+  /// connection has failed.
   bool send(std::string_view text);
-  /// Goes on with the rest; called when writable. False: the connection failed.
+  /// Sends buffered bytes; called when writable. False if the connection has failed.
   bool flush();
-  /// Forgets what was not handed over. Example: the other end stopped reading.
+  /// Discards buffered bytes; used when the peer has stopped reading.
   void dropOutput();
-  /// Bytes not handed to the kernel yet.
+  /// Buffered bytes that the kernel has not accepted yet.
   std::size_t waiting() const;
-  /// Bytes handed to the kernel so far. Example: 0 means that nothing can have arrived.
+  /// Bytes that the kernel has accepted so far; 0 means that the peer can't have received any.
   std::uint64_t handed() const { return handed_; }
-  /// What a read would find now; takes nothing.
+  /// What a read would return now; consumes nothing.
   ReadOutcome peek() const;
-  /// Open, and nothing to read. Example: before a kept connection is used again.
+  /// Whether the connection is open with nothing to read; checked before it is reused.
   bool quiet() const;
-  /// The pending error, 0 if there is none. Example: once a connect has come to an end.
+  /// Returns and clears the pending error, 0 if none; tells how a connect has ended.
   int takeError() const;
-  /// Ends the writing side only. Example: before the other side's last bytes are read away.
+  /// Closes the sending direction only, so that the peer's last bytes can still be read.
   void shutdownWrite();
-  /// Closes; with `reset` the other end can't take what it got for whole.
+  /// Closes the connection. A reset keeps the peer from taking a truncated response for complete.
   void close(bool reset = false);
   bool open() const { return descriptor_ >= 0; }
 
@@ -84,7 +84,7 @@
   event readEvent_, writeEvent_, closeEvent_;
   bool reading_ = false, writing_ = false, awaitingClose_ = false;
   std::uint64_t handed_ = 0;
-  evbuffer* output_ = nullptr;  // made when first needed
+  evbuffer* output_ = nullptr;  // created when first needed
 };
 
 }  // namespace peppergate
--- a/src/io/loop.cc
+++ b/src/io/loop.cc
@@ -39,8 +39,8 @@
 Loop::Loop() {
   evthread_use_pthreads();
   base_ = event_base_new();
-  if (base_ == nullptr) throw std::runtime_error("no event base");
-  event_base_priority_init(base_, kPriorities);  // an event without one gets the middle: the second
+  if (base_ == nullptr) throw std::runtime_error("cannot create the libevent base");
+  event_base_priority_init(base_, kPriorities);  // the default is the middle one: the second
   static constexpr auto kTakeMail = [](evutil_socket_t, short, void* loop) {
     static_cast<Loop*>(loop)->takeMail();
   };
@@ -58,7 +58,7 @@
   auto entry = std::make_unique<Repeating>();
   entry->what = std::move(what);
   entry->timer = event_new(base_, -1, EV_PERSIST, &runFunction, &entry->what);
-  event_priority_set(entry->timer, kMembers);  // what has to be said in time
+  event_priority_set(entry->timer, kMembers);  // must not wait for clients' requests
   timeval time = toTimeval(pace);
   event_add(entry->timer, &time);
   repeating_.push_back(std::move(entry));
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -1,5 +1,5 @@
 #pragma once
-// The event loop with its clock, timers and a mailbox for other threads.
+// The event loop: clock, timers, signals, and a queue for callbacks posted by other threads.
 #include <event2/event.h>
 
 #include <deque>
@@ -12,11 +12,10 @@
 
 namespace peppergate {
 
-/// The machine's boot clock; it goes on while the machine sleeps and never jumps.
-/// Example: `auto until = bootNow() + seconds(1);`
+/// The time on the machine's boot clock, which runs on during suspend and is never adjusted.
 MonotonicTime bootNow();
 
-/// Example: `Loop loop; loop.every(milliseconds(50), tick); loop.run();`
+/// A libevent loop. All callbacks run on the thread that runs the loop.
 class Loop {
  public:
   Loop();
@@ -25,18 +24,19 @@
   Loop& operator=(const Loop&) = delete;
 
   event_base* base() const { return base_; }
-  /// Events of members are dealt with before all others that are ready: a loop that is behind with
-  /// clients' requests still hears its leader. Example: `bufferevent_priority_set(b, kMembers)`.
+  /// Priority of events of fleet members. They are handled before all other ready events, so a loop
+  /// that is behind with clients' requests still receives messages from its leader.
   static constexpr int kMembers = 0;
-  /// Calls again and again. Example: see the class.
+  /// Calls the callback periodically.
   void every(Duration pace, std::function<void()> what);
-  /// Calls once, later. Example: `loop.after(seconds(1), [] { ... });`
+  /// Calls the callback once, after a delay.
   void after(Duration delay, std::function<void()> what);
-  /// Calls once the present event has been dealt with. Example: to free a connection.
+  /// Calls the callback once the current event has been handled, for instance to free a connection
+  /// that is still in use.
   void soon(std::function<void()> what) { after(Duration{}, std::move(what)); }
-  /// Hands work to the loop from any thread. Example: `loop.post([event] { take(event); });`
+  /// Runs the callback on the loop's thread; may be called from any thread.
   void post(std::function<void()> what);
-  /// Calls on a signal. Example: `loop.onSignal(SIGTERM, drain);`
+  /// Calls the callback on each signal of this number.
   void onSignal(int signal, std::function<void()> what);
   void run();
   void stop();
--- a/src/io/loop_lag.h
+++ b/src/io/loop_lag.h
@@ -1,19 +1,19 @@
 #pragma once
-// How far an event loop is behind. All that a process reads waits as long: frames, requests,
-// closes.
+// Measures how late an event loop runs. Everything that the process reads is delayed by as much:
+// frames, requests, closed connections.
 #include <algorithm>
 
 #include "core/types.h"
 
 namespace peppergate {
 
-/// Measures by a timer that runs on the loop. Example: `Duration late = lag.tick(bootNow());`
+/// Measures the delay of a periodic timer that runs on the loop.
 class LoopLag {
  public:
-  /// `pace`: the time between two ticks where nothing holds the loop up.
+  /// Takes the time between two ticks of a loop that is on time.
   explicit LoopLag(Duration pace) : pace_(pace) {}
 
-  /// Called by each tick; returns how much later than its time it came.
+  /// Called on each tick; returns how late the tick is.
   Duration tick(MonotonicTime now) {
     Duration late = last_ == kNever ? Duration{} : std::max(Duration{}, now - last_ - pace_);
     last_ = now;
--- a/src/io/member_hub.cc
+++ b/src/io/member_hub.cc
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::size_t kMostWaiting = 8U << 20;
-constexpr Duration kPauseAfterFailure = milliseconds(100);  // before a member is tried again
+constexpr Duration kPauseAfterFailure = milliseconds(100);  // before reconnecting to a member
 constexpr std::size_t kMostIncoming = 512;
-constexpr std::size_t kAddressField = 32;  // each frame is led by its sender's address
+constexpr std::size_t kAddressField = 32;  // each frame is preceded by its sender's address
 
 }  // namespace
 
@@ -56,7 +56,7 @@
 absl::Status MemberHub::listen() {
   sockaddr_in address{};
   if (!parseAddress(self_.value, address))
-    return absl::InvalidArgumentError("'" + self_.value + "' is no address");
+    return absl::InvalidArgumentError("'" + self_.value + "' is not a valid address");
   static constexpr auto kAccept = [](evconnlistener*, evutil_socket_t socket, sockaddr*, int,
                                      void* argument) {
     auto* hub = static_cast<MemberHub*>(argument);
@@ -78,7 +78,7 @@
       one->hub->close(*one);
     };
     bufferevent_setcb(incoming->connection, kRead, nullptr, kEvent, incoming.get());
-    // A connection that says nothing for a minute is let go.
+    // A connection that sends nothing for a minute is closed.
     timeval idle{60, 0};
     bufferevent_set_timeouts(incoming->connection, &idle, nullptr);
     bufferevent_enable(incoming->connection, EV_READ);
@@ -88,7 +88,7 @@
                                       LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                       reinterpret_cast<sockaddr*>(&address), sizeof address);
   if (listener_ == nullptr)
-    return absl::UnavailableError("can't listen at " + self_.value + ": " + strerror(errno));
+    return absl::UnavailableError("cannot listen on " + self_.value + ": " + strerror(errno));
   return absl::OkStatus();
 }
 
@@ -105,7 +105,7 @@
     std::string head(kHead, '\0');
     evbuffer_copyout(input, head.data(), kHead);
     FrameHead read = readFrameHead(mark_, std::span(head).subspan(kAddressField));
-    if (read.fault != FrameFault::kNone) {  // nothing after it can be trusted
+    if (read.fault != FrameFault::kNone) {  // the rest of the stream can't be framed
       fault(faultName(read.fault));
       close(incoming);
       return;
@@ -115,7 +115,7 @@
     std::string body(read.length, '\0');
     evbuffer_remove(input, body.data(), body.size());
     bool whole = bodyIsWhole(read, body);
-    auto message = whole ? decodeBody(read.kind, body) : absl::DataLossError("bad sum");
+    auto message = whole ? decodeBody(read.kind, body) : absl::DataLossError("bad checksum");
     if (!message.ok()) {
       fault(faultName(whole ? FrameFault::kBadBody : FrameFault::kBadSum));
       close(incoming);
@@ -127,7 +127,8 @@
   }
 }
 
-// The connection to a member, begun if there is none; null: it can't be reached now.
+// Returns the connection to a member and starts one if there is none; null if the member can't be
+// reached now.
 bufferevent* MemberHub::connectionTo(const Address& to) {
   auto& outgoing = outgoing_[to];
   if (!outgoing) {
@@ -155,18 +156,18 @@
     bufferevent_setcb(outgoing->connection, nullptr, nullptr, kEvent, outgoing.get());
     timeval slow{3, 0};
     bufferevent_set_timeouts(outgoing->connection, nullptr, &slow);
-    // Reading only notices the end of the connection; nothing comes this way.
+    // Reading only detects that the connection has closed; the other side sends nothing on it.
     bufferevent_enable(outgoing->connection, EV_READ | EV_WRITE);
     if (bufferevent_socket_connect(outgoing->connection, reinterpret_cast<sockaddr*>(&address),
                                    sizeof address) != 0) {
-      // No way there at all: no event will tell of it, so it is let go here.
+      // Failed at once: no event will report it, so the connection is freed here.
       if (outgoing->connection != nullptr) bufferevent_free(outgoing->connection);
       outgoing->connection = nullptr;
       outgoing->notBefore = bootNow() + kPauseAfterFailure;
       return nullptr;
     }
   }
-  return outgoing->connection;  // null: it failed at once and was told so
+  return outgoing->connection;  // null if the event callback reported a failure at once
 }
 
 void MemberHub::queue(const Address& to, const std::string& frame, std::size_t kind) {
--- a/src/io/member_hub.h
+++ b/src/io/member_hub.h
@@ -1,5 +1,6 @@
 #pragma once
-// Frames between members over TCP: one connection each way, bounded, nothing kept when full.
+// Frames between members over TCP: one connection per direction, with a bounded output buffer. A
+// message that finds the buffer full is dropped.
 #include <absl/status/status.h>
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -17,24 +18,25 @@
 
 namespace peppergate {
 
-/// Example: `MemberHub hub(loop, self, "hutline", take); hub.send(address, message);`
+/// Sends messages to other members and passes received ones to a handler.
 class MemberHub {
  public:
   using Taker = std::function<void(const Address& from, Message message)>;
   MemberHub(Loop& loop, Address self, std::string_view fleet, Taker taker);
   ~MemberHub();
 
-  /// Starts to listen. Example: a port in use is an error.
+  /// Starts to listen for other members; fails if the port is in use.
   absl::Status listen();
-  /// Sends if there is room; a lost message is the machines' business.
+  /// Sends if the output buffer has room. Delivery isn't guaranteed: the protocols above repeat
+  /// their messages.
   void send(const Address& to, const Message& message);
-  /// The same to several members; the message is coded once.
+  /// Sends to several members; the message is encoded once.
   void broadcast(const std::vector<Address>& to, const Message& message);
-  /// Hears and reaches none of these addresses from now on. Example: in a rehearsal.
+  /// Fault injection: exchanges no messages with these addresses, instead of those set before.
   void cut(std::set<std::string> addresses) { cut_ = std::move(addresses); }
-  /// Frames that were not taken, by fault. Example: `hub.faults().at("other fleet")`.
+  /// Counts of frames and connections that were not accepted or not sent, by kind of fault.
   const std::map<std::string, std::uint64_t>& faults() const { return faults_; }
-  /// What was queued to other members, of one kind of message; bytes with the frames' heads.
+  /// What was queued to other members of one kind of message; the bytes include frame headers.
   struct Sent {
     std::uint64_t messages = 0, bytes = 0;
   };
@@ -61,7 +63,7 @@
   std::array<Sent, kMessageKinds> sent_;
 };
 
-/// Reads "127.0.0.1:7000" into a socket address. Example: `parseAddress(text, &address)`.
+/// Parses an IPv4 address with a port, such as "127.0.0.1:7000"; false if it is invalid.
 bool parseAddress(const std::string& text, struct sockaddr_in& address);
 
 }  // namespace peppergate
--- a/src/io/web_client.cc
+++ b/src/io/web_client.cc
@@ -50,7 +50,7 @@
   timeval time{static_cast<time_t>(timeout.microseconds / 1'000'000),
                static_cast<suseconds_t>(timeout.microseconds % 1'000'000)};
   evhttp_connection_set_timeout_tv(connection, &time);
-  evhttp_connection_set_retries(connection, 0);  // nothing is repeated behind our back
+  evhttp_connection_set_retries(connection, 0);  // libevent must not retry on its own
   evhttp_connection_set_max_body_size(connection, 16 << 20);
   return connection;
 }
@@ -65,7 +65,8 @@
     evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
 }
 
-// Sees the very moment at which a request goes to its connection's output.
+// Observes the moment at which a request is put into its connection's output buffer, and holds it
+// back if the write deadline has passed.
 struct WriteGuard {
   bufferevent* connection = nullptr;
   MonotonicTime writeBefore = kForever;
@@ -77,7 +78,7 @@
     auto* guard = static_cast<WriteGuard*>(argument);
     if (info->n_added == 0 || guard->written || guard->late) return;
     if (bootNow() >= guard->writeBefore) {
-      guard->late = true;  // what was put there never leaves
+      guard->late = true;  // the buffered request is never sent
       bufferevent_disable(guard->connection, EV_WRITE);
       if (guard->onLate) guard->onLate();
       return;
@@ -116,7 +117,7 @@
   bool ended = false;
   std::string echo;
 
-  // From this moment on the engine may get it, whatever comes after.
+  // From now on the engine may have received the request, whatever happens next.
   void tellWritten() { tell({id, ShotTurn::kWritten, {}, {}, {}, 0}); }
   void tell(const ShotTurned& turned) {
     if (!ended) taker(turned);
@@ -128,7 +129,7 @@
   }
 };
 
-/// The C callbacks, with leave to see the client's insides.
+/// libevent callbacks with access to the client's private members.
 struct CallBacks {
   static void callDone(evhttp_request* request, void* argument) {
     auto* call = static_cast<WebClient::Call*>(argument);
@@ -144,7 +145,7 @@
     auto owned = client->calls_.extract(call);
     client->release(call->connection);
     call->taker(result);
-    // The guard is still known to the connection's buffer until that is freed.
+    // The connection's buffer refers to the write guard until the connection is freed.
     auto kept = std::make_shared<std::unique_ptr<WebClient::Call>>(std::move(owned.mapped()));
     client->loop_.after(milliseconds(1), [kept] {});
   }
@@ -182,12 +183,12 @@
     int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
     if (!alive->guard.written) alive->finish(ShotTurn::kNotWritten, 0);
     else if (status != 0 && status != 200) {
-      // Only an engine that says so did not run; anything else may have.
+      // Only this header says that the engine did not run the request; otherwise it may have.
       const char* word =
           evhttp_find_header(evhttp_request_get_input_headers(request), "X-Did-Not-Run");
       alive->finish(word != nullptr ? ShotTurn::kDeclined : ShotTurn::kBroken, status);
     } else {
-      alive->finish(ShotTurn::kBroken, status);  // an end without the end event is a cut
+      alive->finish(ShotTurn::kBroken, status);  // ended without the end event: truncated
     }
   }
 };
@@ -261,7 +262,7 @@
   std::shared_ptr<Shot> shot = found->second;
   shots_.erase(found);
   shot->ended = true;
-  // Freed once the present callback is over; the shot lives as long as its connection.
+  // Freed after the current callback; the attempt must outlive its connection.
   loop_.soon([shot] { evhttp_connection_free(shot->connection); });
 }
 
--- a/src/io/web_client.h
+++ b/src/io/web_client.h
@@ -1,5 +1,6 @@
 #pragma once
-// Short HTTP calls and streamed shots, each on a connection of its own that is never used again.
+// HTTP client for short calls and streamed attempts. Each uses a connection of its own, which is
+// never reused.
 #include <event2/http.h>
 
 #include <functional>
@@ -13,27 +14,27 @@
 
 namespace peppergate {
 
-/// What a short call brought; status 0 is no answer.
+/// The response to a short call; status 0 means that there was none.
 struct WebResult {
   int status = 0;
   std::string body;
   Headers headers;
 };
 
-/// Reads server-sent events as they come. Example: `reader.feed(text, take)`.
+/// Incremental parser for server-sent events.
 class EventReader {
  public:
   struct OneEvent {
     std::string id, event, data;
   };
-  /// Takes more text; calls for each whole event. Example: see the class.
+  /// Adds text and calls the callback for each event that is complete.
   void feed(std::string_view text, const std::function<void(const OneEvent&)>& take);
 
  private:
   std::string rest_;
 };
 
-/// Example: `client.call(command, [](WebResult result) { ... });`
+/// Sends calls and streamed attempts to engines.
 class WebClient {
  public:
   using Taker = std::function<void(const WebResult&)>;
@@ -41,15 +42,15 @@
   explicit WebClient(Loop& loop);
   ~WebClient();
 
-  /// A short call. Its write is checked against `writeBefore`. Example: see the class.
+  /// Sends a short call, unless the command's write deadline has passed when it would be written.
   void call(const CallWeb& command, Taker taker);
-  /// A streamed shot; its turns are told as they come. Example: `client.shoot(open, take)`.
+  /// Starts a streamed attempt and reports its events as they arrive.
   void shoot(const OpenShot& command, ShotTaker taker);
-  /// Ends a shot; nothing of it is told any more. Example: `client.cancel(shot)`.
+  /// Aborts an attempt; none of its events is reported any more.
   void cancel(ShotId shot);
-  /// Stops or goes on reading a shot's answer. Example: for a caller that reads slowly.
+  /// Pauses or resumes reading an attempt's response, while its caller reads slowly.
   void pause(ShotId shot, bool paused);
-  /// Reaches none of these addresses from now on. Example: in a rehearsal.
+  /// Fault injection: makes these addresses unreachable, instead of those set before.
   void cut(std::set<std::string> addresses) { cut_ = std::move(addresses); }
 
  private:
--- a/src/io/web_server.cc
+++ b/src/io/web_server.cc
@@ -17,14 +17,14 @@
   for (const auto& [name, value] : headers) evhttp_add_header(output, name.c_str(), value.c_str());
 }
 
-constexpr int kIdleSeconds = 10;    // for a caller that says nothing, or half a request
-constexpr int kStreamSeconds = 90;  // once a request is being answered
+constexpr int kIdleSeconds = 10;    // for an idle caller or a partial request
+constexpr int kStreamSeconds = 90;  // while a request is being answered
 
 }  // namespace
 
-/// The C callbacks, with leave to see the server's insides.
+/// libevent callbacks with access to the server's private members.
 struct ServerBacks {
-  // Each request that is being answered is kept alive by its connection's close callback.
+  // Argument of the connection's close callback; keeps the request alive until it is answered.
   using Kept = std::shared_ptr<WebRequest>;
 
   static void closed(evhttp_connection*, void* argument) {
@@ -56,7 +56,7 @@
     evbuffer_remove(input, request->body.data(), request->body.size());
     evhttp_connection* connection = evhttp_request_get_connection(raw);
     evhttp_connection_set_timeout(connection, kStreamSeconds);
-    // Reading stays on, so that a caller that goes is noticed at once.
+    // Reading stays enabled, so that a disconnect is noticed at once.
     bufferevent_enable(evhttp_connection_get_bufferevent(connection), EV_READ);
     request->kept_ = new Kept(request);
     evhttp_connection_set_closecb(connection, &ServerBacks::closed, request->kept_);
@@ -140,13 +140,13 @@
 absl::Status WebServer::listen(const Address& address, std::size_t largestBody) {
   auto colon = address.value.find(':');
   if (colon == std::string::npos)
-    return absl::InvalidArgumentError("'" + address.value + "' is no address");
+    return absl::InvalidArgumentError("'" + address.value + "' is not a valid address");
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(largestBody));
   socket_ = evhttp_bind_socket_with_handle(
       http_, address.value.substr(0, colon).c_str(),
       static_cast<ev_uint16_t>(std::atoi(address.value.c_str() + colon + 1)));
   if (socket_ == nullptr)
-    return absl::UnavailableError("can't listen at " + address.value + ": " + strerror(errno));
+    return absl::UnavailableError("cannot listen on " + address.value + ": " + strerror(errno));
   return absl::OkStatus();
 }
 
--- a/src/io/web_server.h
+++ b/src/io/web_server.h
@@ -1,5 +1,5 @@
 #pragma once
-// An HTTP/1.1 listener: short answers and event streams, with the caller's going noticed.
+// HTTP/1.1 server for short responses and event streams; reports callers that disconnect.
 #include <absl/status/status.h>
 #include <event2/http.h>
 
@@ -13,27 +13,27 @@
 
 namespace peppergate {
 
-/// One request as it came; answered once, at any later time, unless the caller went.
+/// A received request; answered once, at any later time, unless the caller disconnects.
 class WebRequest : public std::enable_shared_from_this<WebRequest> {
  public:
   std::string method, path, query, body;
   Headers headers;  // names in lower case
 
-  /// Answers in one go. Example: `request->answer(200, {}, "{}");`
+  /// Sends a complete response.
   void answer(int status, const Headers& answerHeaders, const std::string& text);
-  /// Begins an event stream. Example: `request->start({{"X-Request-Id", id}});`
+  /// Starts an event stream as the response.
   void start(const Headers& answerHeaders);
-  /// Sends one event of a stream. Example: `request->event("3", "piece", "text");`
+  /// Sends one event of the stream; an empty id is left out.
   void event(std::string_view id, std::string_view name, std::string_view data);
-  /// Ends a stream. Example: after the end event.
+  /// Ends the event stream.
   void end();
-  /// Bytes that the caller has not taken yet. Example: to slow its own stream only.
+  /// Response bytes that wait to be sent because the caller reads slowly.
   std::size_t waiting() const;
   bool gone() const { return request_ == nullptr; }
-  /// Whether the caller is still there, as far as its socket tells now; nothing is called.
-  /// Example: before one more engine is asked on its behalf.
+  /// Whether the caller's socket is still open, checked now; calls no handler. Meant for the moment
+  /// before another engine is asked on the caller's behalf.
   bool callerPresent() const;
-  /// Called if the caller goes before the answer ended. Example: to cancel its shot.
+  /// Called if the caller disconnects before its response has ended.
   std::function<void()> onGone;
 
  private:
@@ -41,18 +41,18 @@
   friend struct ServerBacks;
   void letGo();
   evhttp_request* request_ = nullptr;
-  std::shared_ptr<WebRequest>* kept_ = nullptr;  // alive while its connection may close
+  std::shared_ptr<WebRequest>* kept_ = nullptr;  // keeps the request alive for the close callback
 };
 
-/// Example: `WebServer server(loop, take); server.listen({"127.0.0.1:8080"}, limits);`
+/// Listens on one address and passes each request to a handler.
 class WebServer {
  public:
   using Taker = std::function<void(std::shared_ptr<WebRequest>)>;
   WebServer(Loop& loop, Taker taker);
   ~WebServer();
-  /// Starts to listen; bodies and headers are bounded. Example: see the class.
+  /// Starts to listen; the sizes of bodies and headers are limited.
   absl::Status listen(const Address& address, std::size_t largestBody);
-  /// Takes no new connections. Example: at the end of a drain.
+  /// Accepts no new connections; used at the end of a drain.
   void stop();
 
  private:
--- a/tests/daemon_end_test.cc
+++ b/tests/daemon_end_test.cc
@@ -1,4 +1,5 @@
-// A daemon that ends while operators still wait for their answers.
+// A daemon that is stopped while operators wait for responses must exit cleanly: their connections
+// are closed while the daemon's members are destroyed.
 #include <signal.h>
 #include <sys/wait.h>
 
@@ -13,7 +14,7 @@
 
 constexpr int kWaiting = 6;
 
-/// A core of three, alone: it has no leader, so a read of the newest configuration waits.
+/// One core of three, alone: without a leader, a read of the newest configuration waits.
 DaemonSetup loneCore(const Address& pages, const std::string& folder) {
   DaemonSetup setup;
   setup.member = freeAddress();
@@ -25,7 +26,7 @@
   return setup;
 }
 
-/// Runs the daemon in this process until SIGTERM; its exit code.
+/// Runs the daemon in this process until SIGTERM; returns its exit code.
 int runUntilTerm(const Address& pages, const std::string& folder) {
   Daemon daemon(Role::kCore, loneCore(pages, folder));
   if (!daemon.open().ok()) return 3;
@@ -36,7 +37,7 @@
 
 TEST_GROUP(DaemonEnds){};
 
-TEST(DaemonEnds, WhileOperatorsWait) {
+TEST(DaemonEnds, CleanlyWhileOperatorsWait) {
   std::string folder = "/tmp/peppergate-daemon-end-" + std::to_string(getpid());
   Address pages = freeAddress();
   pid_t child = fork();
@@ -45,7 +46,7 @@
   std::vector<std::unique_ptr<TestPeer>> operators;
   for (int number = 0; number < kWaiting; ++number) {
     std::unique_ptr<TestPeer> peer;
-    for (int attempt = 0; attempt < 100; ++attempt) {  // until it listens
+    for (int attempt = 0; attempt < 100; ++attempt) {  // until the daemon listens
       peer = std::make_unique<TestPeer>(loop, pages);
       peer->send("GET /config HTTP/1.1\r\nHost: here\r\n\r\n");
       loop.turn();
--- a/tests/disk_test.cc
+++ b/tests/disk_test.cc
@@ -1,4 +1,5 @@
-// The disk task's order of work, with each call failing in turn, and power lost in between.
+// Durable file writes: the order of the file system calls, a failure of each of them, and a power
+// loss between two of them.
 #include "io/disk_task.h"
 
 #include <errno.h>
@@ -19,12 +20,12 @@
 
 namespace fs = std::filesystem;
 
-/// What the calls were and which of them fails; the calls themselves have no state of their own.
+/// The recorded calls and the one that fails. Global, as the calls are plain functions.
 struct Script {
   std::vector<std::string> calls;
-  std::string failing;  // the call that fails, as "write", "sync 2", ...
+  std::string failing;  // the call that fails, such as "write" or "sync 2"
   int error = EIO;
-  std::size_t most = SIZE_MAX;  // bytes that one write takes
+  std::size_t most = SIZE_MAX;  // limit of the bytes that one write accepts
   std::map<std::string, int> counts;
 };
 Script script;
@@ -74,7 +75,7 @@
   void teardown() override { fs::remove_all(folder); }
 };
 
-TEST(Disk, AsideIsSyncedBeforeTheNameAndTheFolderAfterIt) {
+TEST(Disk, TheFileIsSyncedBeforeTheRenameAndTheFolderAfterIt) {
   CHECK(writeFile(kScripted, folder, "state.1", "content").ok());
   std::vector<std::string> wanted{"open",   "write",       "sync", "close",
                                   "rename", "open-folder", "sync", "close"};
@@ -82,28 +83,28 @@
   STRCMP_EQUAL("content", contentOf(folder + "/state.1").c_str());
 }
 
-TEST(Disk, ShortWritesAreGoneOnWith) {
+TEST(Disk, ShortWritesAreContinued) {
   script.most = 3;
   CHECK(writeFile(kScripted, folder, "state.1", "a longer content").ok());
   STRCMP_EQUAL("a longer content", contentOf(folder + "/state.1").c_str());
   CHECK_EQUAL(6, script.counts["write"]);
 }
 
-TEST(Disk, AFailureAtAnyStepIsNoYesAndLeavesTheOldFileWhole) {
+TEST(Disk, AFailureAtAnyStepIsReportedAndLeavesAWholeFile) {
   for (const char* step : {"open", "write", "sync 1", "rename", "open-folder", "sync 2"}) {
     CHECK(writeFile(systemCalls(), folder, "voter.1", "before").ok());
     script = {};
     script.failing = step;
     auto status = writeFile(kScripted, folder, "voter.1", "after");
     CHECK_TEXT(!status.ok(), step);
-    CHECK_TEXT(!absl::IsResourceExhausted(status), step);  // the disk is suspect
+    CHECK_TEXT(!absl::IsResourceExhausted(status), step);  // the contents of the disk are unknown
     std::string now = contentOf(folder + "/voter.1");
     bool named = script.counts["rename"] > 0 && script.failing != "rename";
-    CHECK_TEXT(now == (named ? "after" : "before"), step);  // whole, the one or the other
+    CHECK_TEXT(now == (named ? "after" : "before"), step);  // the whole old or new content
   }
 }
 
-TEST(Disk, WantOfSpaceChangesNothingAndIsToldApart) {
+TEST(Disk, AFullDiskChangesNothingAndHasItsOwnError) {
   CHECK(writeFile(systemCalls(), folder, "voter.1", "before").ok());
   for (const char* step : {"open", "write", "write 2"}) {
     script = {};
@@ -115,30 +116,30 @@
     STRCMP_EQUAL("before", contentOf(folder + "/voter.1").c_str());
     CHECK_FALSE(fs::exists(folder + "/voter.1.aside"));
   }
-  // A sync that fails for want of space is a failed sync: nobody knows what is on the disk.
+  // A sync that fails with ENOSPC is a failed sync: the contents of the disk are unknown.
   script = {};
   script.failing = "sync 1";
   script.error = ENOSPC;
   CHECK_FALSE(absl::IsResourceExhausted(writeFile(kScripted, folder, "voter.1", "after")));
 }
 
-TEST(Disk, PowerLostBetweenNameAndFolderLeavesOneOfTwoGoodStates) {
-  // Whichever of both names the folder has after the power came back, a core starts from it.
+TEST(Disk, APowerLossBetweenRenameAndFolderSyncLeavesAValidState) {
+  // A core can start from the folder whether or not the rename has survived the power loss.
   std::string older = sealed(R"({"tag":1,"state":"x"})"),
               newer = sealed(R"({"tag":2,"state":"y"})");
   CHECK(writeFile(systemCalls(), folder, "state.1", older).ok());
-  script.failing = "open-folder";  // the power goes here
+  script.failing = "open-folder";  // the power fails here
   CHECK_FALSE(writeFile(kScripted, folder, "state.2", newer).ok());
   auto withName = DiskTask::load(folder);
   CHECK(withName.ok() && opened(withName->at("state.2")).has_value());
-  fs::rename(folder + "/state.2", folder + "/state.2.aside");  // the name did not last
+  fs::rename(folder + "/state.2", folder + "/state.2.aside");  // the rename was lost
   auto without = DiskTask::load(folder);
   CHECK(without.ok() && !without->contains("state.2") &&
         opened(without->at("state.1")).has_value());
   CHECK_FALSE(fs::exists(folder + "/state.2.aside"));
 }
 
-TEST(Disk, AFullDiskIsWaitedForAndAFailedSyncIsNot) {
+TEST(Disk, AWriteIsRetriedOnAFullDiskButNotAfterAFailedSync) {
   std::promise<bool> first, second;
   int answers = 0;
   DiskTask disk(folder, [&](const FileWritten& written) {
@@ -146,7 +147,7 @@
   });
   disk.fault(DiskFault::kFull);
   disk.write({{1}, "voter.1", "one"});
-  disk.fault(DiskFault::kNone);  // space comes back, before or after the first try
+  disk.fault(DiskFault::kNone);  // space is freed, before or after the first try
   CHECK(first.get_future().get());
   STRCMP_EQUAL("one", contentOf(folder + "/voter.1").c_str());
   disk.fault(DiskFault::kFailSync);
--- a/tests/loop_lag_test.cc
+++ b/tests/loop_lag_test.cc
@@ -7,14 +7,14 @@
 
 TEST_GROUP(LoopLags){};
 
-TEST(LoopLags, ATickThatComesInTimeIsNotLate) {
+TEST(LoopLags, ATickOnTimeHasNoDelay) {
   LoopLag lag(milliseconds(50));
   LONGS_EQUAL(0, lag.tick(at(10)).microseconds);
   LONGS_EQUAL(0, lag.tick(at(10.05)).microseconds);
   LONGS_EQUAL(0, lag.tick(at(10.09)).microseconds);
 }
 
-TEST(LoopLags, ALateTickTellsByHowMuch) {
+TEST(LoopLags, ALateTickReportsItsDelay) {
   LoopLag lag(milliseconds(50));
   lag.tick(at(10));
   LONGS_EQUAL(1'200'000, lag.tick(at(11.25)).microseconds);
@@ -23,7 +23,7 @@
 
 TEST_GROUP(FleetPaces){};
 
-TEST(FleetPaces, WhatOneMemberTakesInIsBoundedBetweenTheTwoEnds) {
+TEST(FleetPaces, TheRateAtWhichOneMemberReceivesIsBoundedBetweenBothLimits) {
   constexpr FleetPace kPace{milliseconds(100), milliseconds(5), milliseconds(500)};
   auto takenInASecond = [&](std::size_t members) {
     return static_cast<double>(members) / inSeconds(kPace.between(members));
--- a/tests/loop_order_test.cc
+++ b/tests/loop_order_test.cc
@@ -1,4 +1,5 @@
-// What a loop that is behind deals with first, and what it asks of a caller's socket.
+// A loop that is behind must handle members' frames before clients' requests, and must detect a
+// caller's disconnect that it has not processed yet.
 #include <event2/bufferevent.h>
 
 #include <memory>
@@ -10,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kLead = 32;  // a frame's sender stands before it
+constexpr std::size_t kLead = 32;  // each frame is preceded by its sender's address
 
 std::string frameFrom(const std::string& sender) {
   std::string lead = sender;
@@ -22,8 +23,8 @@
 
 TEST_GROUP(LoopOrder) { TestLoop loop; };
 
-// Requests that were ready long before a member's frame wait for it all the same.
-TEST(LoopOrder, AMembersFrameComesBeforeRequestsThatAreReady) {
+// A frame is handled first even if requests were ready before it arrived.
+TEST(LoopOrder, AMembersFrameIsHandledBeforeReadyRequests) {
   constexpr std::size_t kRequests = 20;
   std::vector<std::string> order;
   Address address = freeAddress();
@@ -60,7 +61,7 @@
   }
 }
 
-TEST(LoopOrder, ACallersSocketTellsWhetherItIsStillThere) {
+TEST(LoopOrder, ACallersDisconnectIsDetectedFromItsSocket) {
   std::shared_ptr<WebRequest> asked;
   WebServer server(loop.loop(), [&](std::shared_ptr<WebRequest> request) { asked = request; });
   Address address = freeAddress();
@@ -69,7 +70,7 @@
   caller->send("POST /v1/stream HTTP/1.1\r\nHost: here\r\nContent-Length: 1\r\n\r\nx");
   CHECK(loop.until([&] { return asked != nullptr; }));
   CHECK(asked->callerPresent());
-  caller.reset();  // it closes; the loop has not run since
+  caller.reset();  // closes the connection; the loop has not run since
   CHECK_FALSE(asked->callerPresent());
   asked->answer(200, {}, "late");
   CHECK_FALSE(asked->callerPresent());
