--- a/src/sim/callers.cc
+++ b/src/sim/callers.cc
@@ -24,7 +24,7 @@
   floodDue_ += over ? 0 : span * floodRate_;
   for (; due_ >= 1; due_ -= 1) sendOne({});
   for (; floodDue_ >= 1; floodDue_ -= 1) sendOne(floodTenant_);
-  for (auto& [id, stream] : streams_) {  // whoever hears nothing by the deadline gives up
+  for (auto& [id, stream] : streams_) {  // a client gives up 1 s after the deadline
     if (stream.end != CallerEnd::kOpen || now < stream.deadline + seconds(1)) continue;
     stream.end = CallerEnd::kLost;
     stream.kind = "no-answer";
@@ -61,7 +61,7 @@
 }
 
 void Callers::send(CallerStream& stream) {
-  // The platform hands callers to daemons that it sees alive.
+  // The platform's load balancer selects only live routers.
   std::vector<SimProcess*> fronts;
   for (auto& process : world_.processes())
     if (process->role == Role::kFront && process->alive) fronts.push_back(process.get());
@@ -158,7 +158,7 @@
   stream.end = CallerEnd::kCut;
   if (!stream.resumable || stream.resumed || stream.next == 0) return;
   if (stream.kind == "deadline" || stream.kind == "key-withdrawn") return;
-  stream.resumed = true;  // once, at whichever front the platform gives
+  stream.resumed = true;  // once, at any router that the platform selects
   stream.end = CallerEnd::kOpen;
   ++stream.tries;
   std::uint64_t id = stream.id;
--- a/src/sim/callers.h
+++ b/src/sim/callers.h
@@ -1,5 +1,5 @@
 #pragma once
-// The simulated callers: what they ask, what they hear, and how they judge it.
+// Simulated clients of the streaming interface: their requests and checks of the answers.
 #include <map>
 #include <string>
 #include <vector>
@@ -15,10 +15,10 @@
 
 enum class CallerEnd : std::uint8_t { kOpen, kWhole, kCut, kDeclined, kLost };
 
-/// One stream as its caller knows it, over all its tries.
+/// One stream as its client sees it, over all its attempts.
 struct CallerStream {
   std::uint64_t id = 0;
-  std::string host;  // of the front that it was sent to
+  std::string host;  // of the router that it was last sent to
   std::string firstHost;
   std::string key;
   std::string tenant;
@@ -29,8 +29,8 @@
   std::uint64_t next = 0;
   std::uint64_t weights = 0;
   std::string requestId;
-  std::string run;                      // the engine's mark of the run that its pieces came from
-  std::vector<std::string> toldNotRun;  // request ids that surely did not run, it was said
+  std::string run;                      // identifier of the engine's run that sent its pieces
+  std::vector<std::string> toldNotRun;  // request ids that were reported as not run
   MonotonicTime asked, deadline, first = kForever, ended = kForever;
   CallerEnd end = CallerEnd::kOpen;
   std::string kind;
@@ -38,25 +38,25 @@
   bool resumed = false;
 };
 
-/// Example: `callers.tick()` sends what is due; `callers.heard(command)` takes answers.
+/// Generates the load of a scenario and checks each answer.
 class Callers {
  public:
   explicit Callers(World& world);
-  /// Sends the streams that are due by now. Example: each tick of the world.
+  /// Sends the streams that are due. Called every tick of the world.
   void tick();
   void started(const StartAnswer& answer);
   void piece(const SendPiece& piece);
   void ended(const EndAnswer& answer);
   void declined(const DeclineStream& answer);
-  /// The front died under its callers. Example: on a kill.
+  /// The process of a router ended: its open streams break.
   void lost(const std::string& host);
-  /// Changes the traffic by a factor. Example: `callers.traffic(2)`.
+  /// Multiplies the request rate by a factor.
   void traffic(double factor) { factor_ = factor; }
   const std::string& flooding() const { return floodTenant_; }
-  /// One tenant alone sends so many more streams a second. Example: `flood("tenant1", 100)`.
+  /// Adds a number of streams per second of one tenant.
   void flood(const std::string& tenant, double rate);
   const std::map<std::uint64_t, CallerStream>& streams() const { return streams_; }
-  /// The keys as they are given out, by tenant. Example: `keyOf("tenant1")`.
+  /// The API key of a tenant.
   static std::string keyOf(const std::string& tenant) { return exampleKey(tenant); }
 
  private:
@@ -68,7 +68,7 @@
   World& world_;
   Random random_;
   std::map<std::uint64_t, CallerStream> streams_;
-  std::map<StreamId, std::uint64_t> byAsk_;  // each try has an id of its own
+  std::map<StreamId, std::uint64_t> byAsk_;  // each attempt has an id of its own
   std::uint64_t lastAsk_ = 0;
   double factor_ = 1;
   double due_ = 0, floodDue_ = 0, floodRate_ = 0;
--- a/src/sim/checker.cc
+++ b/src/sim/checker.cc
@@ -82,7 +82,7 @@
 }
 
 void Checker::acknowledgedStays() {
-  // What was acknowledged is in force at the fronts that are up at the end.
+  // Acknowledged changes must be installed on the routers that are up at the end.
   for (auto& process : world_.processes()) {
     if (!process->alive || process->frozen || process->role != Role::kFront) continue;
     if (world_.now() - process->disturbed < seconds(12)) continue;
@@ -90,7 +90,7 @@
     if (!follower.fresh(process->local(world_.now()))) continue;
     for (const auto& change : world_.changes()) {
       if (change.outcome != "done") continue;
-      // A whole setup that was applied later stands for what was stamped before.
+      // A complete setup that was applied later replaces tenants that were added before.
       bool replaced = std::ranges::any_of(world_.changes(), [&](const SimChange& other) {
         return other.outcome == "done" && other.body["kind"] == "apply" &&
                other.version > change.version;
@@ -109,8 +109,8 @@
 }
 
 double Checker::worstRankGap(MonotonicTime from, MonotonicTime to) {
-  // How much better a worse rank was served than a better one; at most 0 when ranks are kept.
-  // The last two ranks count as one: the last has too few streams to tell luck from order.
+  // How much better a lower-priority rank was served than a higher one; at most 0 when priorities
+  // hold. The last two ranks count as one: the last has too few streams to be significant.
   std::array<double, 3> served{};
   for (std::size_t rank = 0; rank < served.size(); ++rank)
     served[rank] = servedOf(from, to, [&](const CallerStream& stream) {
@@ -223,7 +223,7 @@
     if (at <= (to == kForever ? world_.now() : to)) primary = has;
   switch (expectation.wanted) {
     case Wanted::kClean:
-      break;  // what must never happen is a failure in every scenario
+      break;  // violated invariants are failures in every scenario
     case Wanted::kServed:
       if (double got = served(from, to); got < number) say("too little served", got);
       break;
@@ -318,7 +318,7 @@
     case Wanted::kTaken:
     case Wanted::kVersions:
     case Wanted::kKept:
-      break;  // only of routers
+      break;  // expected only of the other interface's scenarios
     case Wanted::kOvershoot:
       if (figures_["overshoot"] > number) say("links overshot", figures_["overshoot"]);
       break;
--- a/src/sim/checker.h
+++ b/src/sim/checker.h
@@ -1,5 +1,6 @@
 #pragma once
-// Judges a run by what callers, engines and operators saw.
+// Checks a run against the invariants and expectations, from what callers, engines and operators
+// saw.
 #include <functional>
 #include <map>
 #include <set>
@@ -11,27 +12,27 @@
 
 namespace peppergate {
 
-/// Example: `checker.fail("ran-twice")`, then `checker.finish()` and `checker.failures()`.
+/// Collects violations and figures during a run; `finish` evaluates the scenario's expectations.
 class Checker {
  public:
   explicit Checker(World& world) : world_(world) {}
-  /// Notes something that must never happen. Example: see the class.
+  /// Records a violated invariant; only its first occurrence is reported.
   void fail(const std::string& what);
-  /// A stream began for its caller; its key must be good. Example: on a StartAnswer.
+  /// Checks that a stream whose answer starts doesn't use a withdrawn key.
   void startedWith(const CallerStream& stream);
-  /// A piece came to its caller; its key must be good. Example: on a SendPiece.
+  /// Checks that a stream whose piece arrived doesn't use a withdrawn key.
   void pieceOf(const CallerStream& stream);
-  /// Looks at versions, duties and spread. Example: each 50 ms of simulated time.
+  /// Checks versions, leaders and fetch levels. Called every 50 ms of simulated time.
   void watch();
-  /// The engines' and callers' last words, then the scenario's expectations.
+  /// Evaluates the engines' and callers' final states, then the scenario's expectations.
   void finish();
-  /// What was wrong, empty when all is well. Example: printed with the seed.
+  /// Descriptions of all failures; empty after a correct run.
   const std::vector<std::string>& failures() const { return failures_; }
-  /// Figures of the run, for reports. Example: `figures().at("served")`.
+  /// Figures of the run, for reports.
   const std::map<std::string, double>& figures() const { return figures_; }
-  /// The share of streams asked in a span that came whole. Example: `served(from, to)`.
+  /// The share of the streams requested in a time span that completed.
   double served(MonotonicTime from, MonotonicTime to) const;
-  /// The same for some tenants only. Example: `servedOf(from, to, [](auto& s) { ... })`.
+  /// The same for the streams that a predicate selects.
   double servedOf(MonotonicTime from, MonotonicTime to,
                   const std::function<bool(const CallerStream&)>& counts) const;
 
@@ -45,7 +46,7 @@
   void watchLevels();
   void watchVouchers(int leaders);
   double slidingShare() const;
-  bool liveKey(const CallerStream& stream) const;  // nobody asked to withdraw it
+  bool liveKey(const CallerStream& stream) const;  // no withdrawal of its key was requested
   double leastFront(MonotonicTime from, MonotonicTime to) const;
   void settles();
   void compareRuns();
@@ -57,8 +58,8 @@
   std::vector<std::string> failures_;
   std::map<std::string, double> figures_;
   std::vector<std::pair<MonotonicTime, bool>> primaryAt_;
-  std::set<std::pair<std::string, std::string>> inForce_;  // host and change
-  std::set<std::string> allowed_;  // fronts that allowed new streams at the last look
+  std::set<std::pair<std::string, std::string>> inForce_;  // host and change id
+  std::set<std::string> allowed_;  // routers that admitted new streams at the last check
   std::vector<std::pair<MonotonicTime, bool>> vouchedAt_;
   MonotonicTime lastPrimary_ = kForever;
   double levelSpread_ = 0, levelPairs_ = 0;
--- a/src/sim/checker_rules.cc
+++ b/src/sim/checker_rules.cc
@@ -1,4 +1,4 @@
-// The checker's rules that hold in every scenario, whatever it expects besides.
+// The invariants that the checker enforces in every scenario.
 #include <algorithm>
 
 #include "core/digest.h"
@@ -8,7 +8,8 @@
 namespace peppergate {
 namespace {
 
-// The bounds of the brief. A shot on its way and a tick are all that "about" is used for.
+// The required bounds. Where the requirement says "about", only an attempt in flight and one tick
+// are added.
 constexpr Duration kKeyBound = seconds(5);
 constexpr Duration kSetupBound = seconds(2.1);
 constexpr Duration kBackAfter = seconds(12);
@@ -52,14 +53,14 @@
 }
 
 void Checker::watchLevels() {
-  // Fronts that share a crowded link should stand at one common level of it.
+  // Routers that share an overloaded link should use a common level of it.
   std::map<LinkId, std::pair<double, double>> range;
   std::map<LinkId, int> fronts;
   for (auto& process : world_.processes()) {
     const FrontNode* front = frontOf(*process);
     if (front == nullptr || front->fetches().live() == 0) continue;
     for (const auto& group : front->fetches().plan().groups) {
-      if (group.ratio <= 1) continue;  // with room for all, each stands at its own top
+      if (group.ratio <= 1) continue;  // without contention, each router uses its own maximum
       auto [entry, fresh] = range.try_emplace(group.link, group.level, group.level);
       entry->second.first = std::min(entry->second.first, group.level);
       entry->second.second = std::max(entry->second.second, group.level);
@@ -85,8 +86,8 @@
       if (version < highest) fail("machine-went-back-to-older-setup");
       highest = std::max(highest, version);
     }
-    // Whoever allows new streams, cut off or not, allows none under an older state. What stood
-    // before a restart has to be there again only with the first proof.
+    // A router that admits new streams, partitioned or not, must not admit them under an older
+    // state. After a restart it has to have the state again only once it gets its first proof.
     bool allows = !process->frozen && follower.fresh(process->local(world_.now()));
     SectionVersion newest = std::max({have.setup, have.keys, have.weights});
     for (const auto& change : world_.changes()) {
@@ -106,7 +107,7 @@
 }
 
 double Checker::slidingShare() const {
-  // In any span as long as the window, second shots against the first ones that may pay for them.
+  // For any window, compares the second attempts in it with the first attempts that may fund them.
   double worst = 0;
   for (bool desk : {false, true}) {
     std::vector<MonotonicTime> firsts, seconds_;
@@ -138,7 +139,7 @@
 }
 
 double Checker::leastFront(MonotonicTime from, MonotonicTime to) const {
-  std::map<std::string, std::pair<double, double>> fronts;  // whole, asked
+  std::map<std::string, std::pair<double, double>> fronts;  // completed, requested
   for (const auto& [id, stream] : world_.callers().streams()) {
     if (stream.asked < from || stream.asked >= to || stream.unary || !liveKey(stream)) continue;
     auto& [whole, asked] = fronts[stream.firstHost];
@@ -151,7 +152,7 @@
 }
 
 void Checker::settles() {
-  // From 12 s after the last fault on, whatever it was, nearly all is served.
+  // From 12 s after the last fault on, whatever it was, nearly all streams must complete.
   const Scenario& scenario = world_.scenario();
   if (scenario.actions.empty()) return;
   MonotonicTime from = scenario.actions.back().at + kBackAfter;
--- a/src/sim/engine_model.cc
+++ b/src/sim/engine_model.cc
@@ -93,7 +93,7 @@
   if (drained_) return {503, "draining"};
   if (running_ >= options_.places) return {503, "full"};
   (ask.shot > 1 ? secondShots_ : firstShots_).push_back(now);
-  // From here on it runs; what is wrong is written down, not refused.
+  // From here on the request runs: violations are recorded, not refused.
   began_.insert(ask.requestId);
   if (!ask.resumable && !begun_.insert(ask.requestId).second) violation("ran-twice");
   if (ask.weights != weights_) violation("other-weights");
@@ -136,7 +136,7 @@
 
 Duration EngineModel::prefill(const RunAsk& ask, std::vector<RealPart>& made) {
   Duration time = options_.start;
-  bool prefix = true;  // kept parts help only while all before them are there
+  bool prefix = true;  // a cached block helps only if all blocks before it are cached
   for (const auto& part : ask.parts) {
     auto kept = kept_.find(part.name);
     if (prefix && kept != kept_.end()) {
@@ -205,7 +205,7 @@
   TenantWalls& walls = walls_[tenant];
   if (walls.newest == wall) return;
   walls.former.insert(walls.newest);
-  walls.former.erase(wall);  // a whole setup may name an earlier one again
+  walls.former.erase(wall);  // a complete setup may return to an earlier domain
   walls.newest = wall;
   walls.since = now;
 }
--- a/src/sim/engine_model.h
+++ b/src/sim/engine_model.h
@@ -1,6 +1,6 @@
 #pragma once
-// A model engine as the stand-in plays it, in the simulator and as a process alike. It does what
-// it is told, checks nothing that real engines don't check, and writes down what was wrong.
+// A model of an inference engine, used by the simulator and by the stand-in process. It follows
+// orders, performs only the checks of a real engine and records each violation of the protocol.
 #include <map>
 #include <set>
 #include <string>
@@ -13,14 +13,14 @@
 
 namespace peppergate {
 
-/// One part of a prompt as an engine gets it.
+/// One part of a prompt as received by an engine.
 struct AskedPart {
   PartName name;
   std::size_t characters = 0;
   bool shared = false;
 };
 
-/// A request as it reached the engine.
+/// A parsed generation request.
 struct RunAsk {
   std::string requestId;
   int shot = 1;
@@ -38,17 +38,17 @@
   double rate = 0;
   std::vector<PartName> collect;
   Address deposit;           // X-Deposit-At
-  bool withoutList = false;  // no way to the platform's list led to the asker lately
-  std::string run;           // the engine's own mark of this run, in each piece
+  bool withoutList = false;  // the sender had no path to the platform's list
+  std::string run;           // unique per run; part of the text of each piece
 };
 
-/// Reads the headers (in lower case) and the body of a /run. Example: `parseRun(headers, body)`.
+/// Parses the headers (names in lower case) and the body of a call of /run.
 RunAsk parseRun(const std::map<std::string, std::string>& headers, const std::string& body);
 
-/// A kept part and under what it was really made.
+/// A cached prefix block with the cache domain and weights that really produced it.
 struct RealPart {
-  KeptPart told;  // as the requests labelled it
-  Wall wall;      // of the request that made it
+  KeptPart told;  // as labelled by the request
+  Wall wall;      // of the request that computed it
   WeightsVersion madeUnder;
 };
 
@@ -61,10 +61,11 @@
   Duration loadTime = seconds(1.5);
   Duration drainGrace = seconds(3);
   Duration weightsGrace = seconds(20);
-  Duration wallGrace = seconds(2.5);  // 2 s, and half a second for a shot on its way
+  Duration wallGrace = seconds(2.5);  // 2 s, and half a second for an attempt in flight
 };
 
-/// Example: `if (engine.begin(ask, now).status == 200) { engine.prefill(ask, now); ... }`
+/// One engine: `begin` admits a request, `prefill` computes its prompt, `pieceText` gives its
+/// answer and `end` closes it.
 class EngineModel {
  public:
   struct Verdict {
@@ -73,52 +74,55 @@
   };
   EngineModel(EngineOptions options, EngineId id, WeightsVersion weights, std::uint64_t seed);
 
-  /// Whether a request starts; if not, it did not run. Example: see the class.
+  /// Starts a request. With any status but 200 it did not run.
   Verdict begin(const RunAsk& ask, MonotonicTime now);
-  /// Which of the parts to collect are not kept here yet. Example: the parts to fetch.
+  /// The blocks to fetch that aren't cached here yet.
   std::vector<PartName> lacking(const RunAsk& ask) const;
-  /// A part came from a peer or the store. Example: `engine.collected(part)`.
+  /// Caches a block that came from a peer or the store.
   void collected(const RealPart& part);
-  /// Reads anew what is lacking, uses what is kept, and says how long that takes.
+  /// Uses the cached prefix and recomputes the rest. Returns the time it takes and appends the
+  /// newly cached blocks to `made`.
   Duration prefill(const RunAsk& ask, std::vector<RealPart>& made);
-  /// One piece of the answer. Example: `pieceText(ask, Piece{3})`.
+  /// The text of one piece of the answer.
   std::string pieceText(const RunAsk& ask, Piece piece) const;
-  /// A run ended, one way or another. Example: `engine.end(now)`.
+  /// Ends a run, completed or not.
   void end(MonotonicTime now);
-  /// Lets time pass: a load goes on once the last run ended. Example: each 50 ms.
+  /// Advances time: a load of new weights goes on once the last run ended. Called every 50 ms.
   void tick(MonotonicTime now);
-  /// An order from a watcher. Example: `engine.order(Json::parse(body), now)`.
+  /// Handles an order to drain or to load weights.
   Verdict order(const Json& body, MonotonicTime now);
-  /// The platform listed it as draining, or took that back. Example: `marked(true, now)`.
+  /// The platform listed the engine as draining, or no longer does.
   void marked(bool draining, MonotonicTime now);
-  /// New weights were named to the operators. Example: `named({3}, now)`.
+  /// A new weights version was acknowledged to the operators.
   void named(WeightsVersion version, MonotonicTime now);
-  /// A tenant's newest wall was acknowledged to the operators. Example: `walled("t", {"w"}, now)`.
+  /// A tenant's newest cache domain was acknowledged to the operators.
   void walled(const std::string& tenant, const Wall& wall, MonotonicTime now);
-  /// A mark that no other run has. Example: `ask.run = engine.freshRun()`.
+  /// A new identifier, unique over all runs.
   std::string freshRun() { return id_.value + "." + std::to_string(++runs_); }
-  /// The process starts again, empty, under the given weights. Example: after a crash.
+  /// Restarts the process with an empty cache and the given weights.
   void restart(WeightsVersion weights, MonotonicTime now);
 
   Json health() const;
   Json kept() const;
-  /// A part as a peer would collect it; nothing if it isn't kept. Example: `part(name)`.
+  /// A cached block as a peer would fetch it; null if it isn't cached.
   const RealPart* part(const PartName& name) const;
-  /// What went wrong here, by kind. Example: `violations().at("two-givers")`.
+  /// Counts of protocol violations by kind.
   const std::map<std::string, std::uint64_t>& violations() const { return violations_; }
-  /// Ids of the requests that began here and may not run twice. Example: for the verdict.
+  /// Ids of the started requests that must not run twice.
   const std::set<std::string>& begun() const { return begun_; }
-  /// All ids that began here. Example: to compare with what callers were told.
+  /// Ids of all started requests, to be compared with what callers were told.
   const std::set<std::string>& began() const { return began_; }
   std::uint64_t firstShots() const { return firstShots_.size(); }
   std::uint64_t secondShots() const { return secondShots_.size(); }
-  /// When each first and second shot began here. Example: for sliding windows over the fleet.
+  /// When each first and second attempt started, for sliding windows over the fleet.
   const std::vector<MonotonicTime>& firstTimes() const { return firstShots_; }
   const std::vector<MonotonicTime>& secondTimes() const { return secondShots_; }
-  /// The latest start on outdated weights, and on a drained engine, since it was named or marked.
+  /// The longest time from an acknowledged weights version to a start on older ones, and from the
+  /// draining mark to a start on this engine.
   Duration latestOldStart() const { return latestOldStart_; }
   Duration latestDrainedStart() const { return latestDrainedStart_; }
-  /// The latest first shot under an older wall of its tenant, since the yes to the newer.
+  /// The longest time from the acknowledgement of a tenant's cache domain to a first attempt under
+  /// an older one.
   Duration latestOldWall() const { return latestOldWall_; }
   const EngineId& id() const { return id_; }
   WeightsVersion weights() const { return weights_; }
@@ -159,11 +163,11 @@
   Duration latestOldStart_, latestDrainedStart_;
 };
 
-/// The text that a whole, right answer has at a piece. Example: checkers compare with it.
+/// The expected text of a piece of a correct answer; checkers compare with it.
 std::string rightPiece(const std::string& promptDigest, WeightsVersion weights, Piece piece);
-/// The run's mark in a piece: pieces of two runs differ in it. Example: `runOf("w1-ab-0#e1.7")`.
+/// The run identifier in a piece's text: "e1.7" of "w1-ab-0#e1.7".
 std::string_view runOf(std::string_view pieceText);
-/// The digest of a prompt's text. Example: `promptDigest({"rulebook", "question"})`.
+/// The digest of a prompt's parts.
 std::string promptDigest(const std::vector<std::string>& texts);
 
 }  // namespace peppergate
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -1,5 +1,5 @@
 #pragma once
-// Simulated time: what is to be done when, in order of time and then of arrangement.
+// Simulated time: scheduled actions, ordered by time and then by insertion.
 #include <cstdint>
 #include <functional>
 #include <queue>
@@ -9,23 +9,24 @@
 
 namespace peppergate {
 
-/// The clock and the agenda of one simulation. Not thread-safe.
+/// The clock and the scheduled actions of one simulation. Not thread-safe.
 class EventQueue {
  public:
   explicit EventQueue(MonotonicTime begin) : now_(begin) {}
 
   MonotonicTime now() const { return now_; }
-  /// Does something after a delay.
+  /// Schedules an action after a delay.
   void after(Duration delay, std::function<void()> what) { at(now_ + delay, std::move(what)); }
-  /// Does something at a time; at once, but later than what is under way, if that time has passed.
+  /// Schedules an action at a time. If that time has passed, it runs next, after the current
+  /// action.
   void at(MonotonicTime time, std::function<void()> what) {
     queue_.push({time, ++arranged_, std::move(what)});
   }
-  /// Does something again and again, for the first time after one period.
+  /// Schedules a periodic action; it runs for the first time after one period.
   void every(Duration period, std::function<void()> what);
-  /// Does the next thing; false if there is none.
+  /// Runs the next action; returns false if there is none.
   bool runNext();
-  /// Does one thing after the other until the time is `end` or later.
+  /// Runs actions until the time is `end` or later.
   void runUntil(MonotonicTime end);
 
  private:
--- a/src/sim/hollow_fleet.cc
+++ b/src/sim/hollow_fleet.cc
@@ -1,4 +1,4 @@
-// The hollow fleet's members, clock and network.
+// The members, clock and network of the measurement fleet.
 #include "sim/hollow_fleet.h"
 
 #include <time.h>
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration kTick = milliseconds(50);
-constexpr std::size_t kAddressField = 32;  // each frame on a connection is led by its sender
+constexpr std::size_t kAddressField = 32;  // bytes of the sender's address before each frame
 constexpr std::string_view kDeadNote = "member dead: ";
 constexpr std::string_view kJoinedNote = "member joined: ";
 
@@ -56,7 +56,8 @@
   constexpr int kReads = 20000;
   for (int read = 0; read < kReads; ++read) (void)threadMicros();
   clockCost_ = (threadMicros() - before) / kReads;
-  // A configuration above the limit is refused; the hollow fleet raises the limit to see the cost.
+  // The default size limit would refuse such a configuration. It is raised here so that the cost
+  // can be measured.
   options_.backups = shape_.backups;
   options_.voterSlots = shape_.voterSlots;
   if (shape_.tenants > 2000) options_.largestSetup = 64 << 20;
@@ -97,7 +98,7 @@
     Address platform{shape_.engines > 0 ? "10.200.0.1:80" : ""};
     member.node = std::make_unique<FrontNode>(options_, self, seeds, platform, random_.next());
   }
-  // Members' ticks are spread over the tick's length.
+  // Spreads the members' ticks over one tick period.
   push(Duration{static_cast<std::int64_t>(random_.below(kTick.microseconds))}, index, Ticked{});
 }
 
@@ -156,7 +157,7 @@
     deliver(item.to, Arrived{members_[item.from]->address, std::move(*message)}, cost);
 }
 
-/// Gives each command to the part of the fleet that carries it out.
+/// Dispatches each command of a member to the fleet.
 struct HollowRunner {
   HollowFleet& fleet;
   std::size_t index;
@@ -167,7 +168,7 @@
   void operator()(const CallWeb& command) const { fleet.callWeb(index, command); }
   void operator()(const AnswerWeb& command) const { fleet.answer(command); }
   void operator()(const NoteState& command) const { fleet.note(index, command.text); }
-  /// What belongs to requests doesn't happen here.
+  /// Ignores request commands: this fleet has no client requests.
   template <class Other>
   void operator()(const Other&) const {}
 };
--- a/src/sim/hollow_fleet.h
+++ b/src/sim/hollow_fleet.h
@@ -1,6 +1,7 @@
 #pragma once
-// A hollow fleet: many members in one process, with the real machines and the real codec on
-// simulated time, but no requests. It counts bytes, messages and processor time by kind.
+// A fleet for cost measurements: many members in one process, with the real node state machines and
+// the real codec on simulated time, but without client requests. It counts bytes, messages and
+// processor time by message kind.
 #include <array>
 #include <map>
 #include <memory>
@@ -14,35 +15,35 @@
 
 namespace peppergate {
 
-/// What a member does besides taking messages.
+/// Kinds of events that a member handles besides messages from other members.
 enum class HollowWork : std::uint8_t { kTick = 0, kWeb, kOther };
 inline constexpr std::size_t kHollowWorks = 3;
 
-/// How large a fleet is, and how far apart its parts are.
+/// The size of a fleet and its network delays.
 struct HollowShape {
   int fronts = 9;
   int cores = 4;
-  int backups = 1;     // copies of a change before its acknowledgement
-  int voterSlots = 9;  // at most; cores beyond them wait for one
+  int backups = 1;     // replicas that must have a change before it is acknowledged
+  int voterSlots = 9;  // maximum number of voters; further cores wait for a free slot
   int regions = 2;
-  int zones = 5;      // spread over the regions in turn
-  int engines = 0;    // 0: no engine list at all
-  int keptParts = 0;  // of each engine
+  int zones = 5;      // assigned to the regions round-robin
+  int engines = 0;    // 0: the platform serves no engine list
+  int keptParts = 0;  // cached prefix blocks of each engine
   int tenants = 8;
-  Duration reportEvery = seconds(1);  // how often an engine's kept parts change
+  Duration reportEvery = seconds(1);  // how often an engine's cached blocks change
   Duration nearDelay = Duration{300}, zoneDelay = milliseconds(1), regionDelay = milliseconds(30);
   std::uint64_t seed = 1;
 };
 
-/// What one member sent, took and computed; processor time in microseconds of this thread.
+/// What one member sent, received and computed. Processor times are microseconds of this thread.
 struct HollowCost {
   std::array<std::uint64_t, kMessageKinds> messages{}, bytes{};
   std::array<double, kMessageKinds> sending{}, taking{};
   std::array<double, kHollowWorks> work{};
   std::uint64_t messagesIn = 0, bytesIn = 0, webCalls = 0, webBytes = 0;
-  /// Adds another's. Example: `sum.add(fleet.cost(0));`
+  /// Adds another member's counts.
   void add(const HollowCost& other);
-  /// All processor time. Example: `cost.micros() / 1e6` seconds.
+  /// The sum of all processor times in microseconds.
   double micros() const;
 };
 
@@ -51,59 +52,59 @@
   Address address;
   Role role = Role::kFront;
   int zone = 0;
-  std::unique_ptr<Node> node;  // none: it is down
+  std::unique_ptr<Node> node;  // null while the member is down
   std::uint64_t life = 0;
   std::map<std::string, std::string> disk;
   HollowCost cost;
   SectionVersions have;
   MonotonicTime haveSince{};
   MonotonicTime downSince{};
-  std::vector<bool> knows;  // by index, as its own notes say
+  std::vector<bool> knows;  // live members by index, according to this member's log lines
 };
 
-/// Example: `HollowFleet fleet(shape); fleet.run(seconds(8)); fleet.cost(0).micros();`
+/// Runs all members on one simulated clock and network and records what each of them costs.
 class HollowFleet {
  public:
   explicit HollowFleet(const HollowShape& shape);
 
-  /// Lets simulated time pass. Example: `fleet.run(seconds(10));`
+  /// Advances simulated time.
   void run(Duration span);
   MonotonicTime now() const { return now_; }
   std::size_t size() const { return members_.size(); }
   const HollowMember& member(std::size_t index) const { return *members_[index]; }
   const HollowCost& cost(std::size_t index) const { return members_[index]->cost; }
-  /// The leading core's index, if one leads. Example: `fleet.primary()`.
+  /// The index of the core that is the leader, if any.
   std::optional<std::size_t> primary() const;
-  /// The indices of its backups. Example: `fleet.backups()`.
+  /// The indices of the leader's backups.
   std::vector<std::size_t> backups() const;
 
-  /// An operator asks a front for a change; true at the yes. Example: see `changeBody`.
+  /// Sends an operator's change request to a router; see `answered` for the reply.
   void ask(std::size_t front, Json body);
-  /// The asked change's version once it was answered with yes. Example: `fleet.answered()`.
+  /// The version of the last requested change once it was acknowledged.
   std::optional<SectionVersion> answered() const { return answered_; }
   MonotonicTime answeredAt() const { return answeredAt_; }
   const std::string& lastAnswer() const { return lastAnswer_; }
-  /// When the last live member put a version in force; nothing while one has not.
+  /// When the last live member installed a version; nullopt while any live member lacks it.
   std::optional<MonotonicTime> inForceSince(const SectionVersion& version) const;
 
-  /// A machine loses power, or comes back as a new life. Example: `fleet.stop(7);`
+  /// Stops a member's process, or starts it again as a new incarnation with the same files.
   void stop(std::size_t index);
   void start(std::size_t index);
-  /// Zones up to `count` no longer hear the others; 0 heals. Example: `fleet.cutZones({3});`
+  /// Partitions these zones from all others; an empty list heals the network.
   void cutZones(std::vector<int> zones) { cut_ = std::move(zones); }
-  /// The zones of a region. Example: `fleet.zonesOf(1)`.
+  /// The zones of a region.
   std::vector<int> zonesOf(int region) const;
-  /// Whether each live member knows each other live one, and no other.
+  /// Whether each live member knows exactly the other live members.
   bool whole() const;
-  /// Seconds from each stop to each survivor's word that the machine is dead.
+  /// For each stop and each survivor, the seconds until the survivor logged the member as dead.
   const std::vector<double>& noticed() const { return noticed_; }
-  /// How often a live, reachable machine was taken for dead.
+  /// How often a live, reachable member was declared dead.
   std::uint64_t wronglyDead() const { return wronglyDead_; }
-  /// A counter summed over live members. Example: `fleet.counter("members.suspected")`.
+  /// The sum of a counter over live members.
   std::uint64_t counter(std::string_view name) const;
-  /// The share of live fronts whose proof is young enough for new work. Example: in a cut.
+  /// The share of live routers whose freshness proof is recent enough to admit new streams.
   double freshShare() const;
-  /// What all members cost so far. Example: `fleet.total().micros()`.
+  /// The summed costs of all members so far.
   HollowCost total() const;
 
  private:
@@ -113,7 +114,7 @@
     std::size_t to;
     std::uint64_t life;
     std::size_t from;
-    std::string frame;  // empty: the event, or a tick
+    std::string frame;  // empty: `event` is delivered instead
     std::shared_ptr<Event> event;
     bool operator<(const Item& other) const {
       return at != other.at ? at > other.at : order > other.order;
@@ -143,7 +144,7 @@
   Random random_;
   MonotonicTime now_{};
   std::uint64_t orders_ = 0;
-  double clockCost_ = 0;  // of reading the processor clock once
+  double clockCost_ = 0;  // microseconds of one reading of the processor clock
   std::priority_queue<Item> queue_;
   std::vector<std::unique_ptr<HollowMember>> members_;
   std::map<Address, std::size_t> byAddress_;
@@ -157,11 +158,11 @@
   std::uint64_t wronglyDead_ = 0;
 };
 
-/// A first configuration with so many tenants. Example: `firstChange(8, "1.1")`.
+/// The change that applies an initial configuration with a number of tenants.
 Json firstChange(int tenants, const std::string& basedOn);
-/// A change of one tenant. Example: `fleet.ask(3, changeBody(2, versionText(have.setup)))`.
+/// A change that adds one tenant; `turn` makes its name unique.
 Json changeBody(int turn, const std::string& basedOn);
-/// Microseconds of processor time that this thread used. Example: the difference of two.
+/// Microseconds of processor time that this thread has used.
 double threadMicros();
 
 }  // namespace peppergate
--- a/src/sim/hollow_measures.cc
+++ b/src/sim/hollow_measures.cc
@@ -1,4 +1,4 @@
-// What is measured on a whole hollow fleet.
+// Measurements of a whole fleet.
 #include "sim/hollow_measures.h"
 
 #include <malloc.h>
@@ -12,7 +12,7 @@
 
 constexpr Duration kStep = milliseconds(50);
 
-/// Runs until something holds; the seconds it took, or nothing within the bound.
+/// Runs until the condition holds; returns the seconds it took, or nullopt after the time limit.
 template <class Condition>
 std::optional<double> runUntil(HollowFleet& fleet, Duration bound, Condition condition) {
   MonotonicTime from = fleet.now();
@@ -35,7 +35,7 @@
   return versionText(fleet.member(front).have.setup);
 }
 
-/// The costs of all members since an earlier time, summed by role.
+/// The costs of all members since its construction, averaged by role.
 class RoleCosts {
  public:
   explicit RoleCosts(const HollowFleet& fleet) {
@@ -122,7 +122,7 @@
     auto took = runUntil(fleet, seconds(20), [&] {
       if (fleet.answered()) return fleet.inForceSince(*fleet.answered()).has_value();
       if (fleet.now() < again || fleet.lastAnswer().empty()) return false;
-      again = fleet.now() + seconds(1);  // it was refused for now: operators repeat it
+      again = fleet.now() + seconds(1);  // refused temporarily: operators retry
       fleet.ask(front, changeBody(turn, basedOn(fleet, front)));
       return false;
     });
@@ -234,7 +234,7 @@
   told["kinds"] = kindsSince(fleet.total(), before, members * span);
   told["roles"] = roles.since(fleet, span);
   double wrongly = static_cast<double>(fleet.counter("members.suspected") - suspected);
-  told["suspectedWrongly"] = wrongly / (members * span);  // a member and second
+  told["suspectedWrongly"] = wrongly / (members * span);  // per member and second
   told["deadWrongly"] = static_cast<double>(fleet.wronglyDead() - dead) / (members * span);
   malloc_trim(0);
   told["residentEach"] = (residentBytes() - resident) / members;
--- a/src/sim/hollow_measures.h
+++ b/src/sim/hollow_measures.h
@@ -1,27 +1,26 @@
 #pragma once
-// Measurements on a hollow fleet and on single tables, each as one JSON object.
+// Measurements of a whole fleet and of single tables, each reported as one JSON object.
 #include "sim/hollow_fleet.h"
 
 namespace peppergate {
 
-/// What is done with a fleet once it is whole.
+/// The steps of a measurement once all members know each other.
 struct HollowPlan {
-  Duration window = seconds(10);  // of quiet, over which rates are taken
-  int changes = 3;                // of the configuration, one after another
-  int stops = 1;                  // fronts that lose power together, then come back
-  int cutRegion = -1;             // a region that is cut off
-  int cutZone = -1;               // or a zone
+  Duration window = seconds(10);  // undisturbed time over which rates are measured
+  int changes = 3;                // configuration changes, one after another
+  int stops = 1;                  // routers that stop at the same time and then restart
+  int cutRegion = -1;             // a region to partition; -1: none
+  int cutZone = -1;               // or a zone; -1: none
   Duration cutFor = seconds(30);
 };
 
-/// Runs a plan on a fleet. Example: `measureFleet(shape, plan)["roles"]["front"]["bytesOut"]`.
+/// Runs the steps of a plan on a new fleet and returns the figures.
 Json measureFleet(const HollowShape& shape, const HollowPlan& plan);
-/// Bytes and processor time of tables and messages filled to a size.
-/// Example: `measureTables()["tenants"]`.
+/// Measures memory and processor time of tables and messages with given numbers of entries.
 Json measureTables();
-/// The process's resident memory in bytes. Example: its growth over a call.
+/// The process's resident memory in bytes.
 double residentBytes();
-/// Bytes that the process has allocated and not freed. Example: its growth over a call.
+/// Bytes that the process has allocated and not freed.
 double allocatedBytes();
 
 }  // namespace peppergate
--- a/src/sim/hollow_outside.cc
+++ b/src/sim/hollow_outside.cc
@@ -1,4 +1,4 @@
-// What a hollow fleet meets outside itself: operators, the platform's list, engines' pages.
+// The outside of the measurement fleet: operators, the platform's engine list, engines' HTTP pages.
 #include <algorithm>
 
 #include "core/digest.h"
@@ -13,7 +13,7 @@
          ":8000";
 }
 
-int engineAt(const std::string& address) {  // "10.100.HIGH.LOW:PORT"
+int engineAt(const std::string& address) {  // parses "10.100.HIGH.LOW:PORT"
   auto second = address.find('.', address.find('.') + 1);
   auto third = address.find('.', second + 1);
   return std::stoi(address.substr(second + 1)) * 250 + std::stoi(address.substr(third + 1)) - 1;
--- a/src/sim/hollow_tables.cc
+++ b/src/sim/hollow_tables.cc
@@ -1,4 +1,4 @@
-// Single tables and messages, filled to a size: bytes an entry, microseconds an entry.
+// Measures single tables and messages: bytes and microseconds per entry.
 #include <malloc.h>
 
 #include "core/control_state.h"
--- a/src/sim/loss_ledger.cc
+++ b/src/sim/loss_ledger.cc
@@ -5,7 +5,7 @@
 namespace peppergate {
 
 int LossLedger::mostLost(double from, double to) const {
-  // The number only rises where a loss begins, so those moments and the first are enough.
+  // The number rises only where a loss begins, so it is enough to check those moments and `from`.
   std::vector<double> moments{from};
   for (const Loss& loss : losses_)
     if (loss.from > from && loss.from < to) moments.push_back(loss.from);
--- a/src/sim/loss_ledger.h
+++ b/src/sim/loss_ledger.h
@@ -1,21 +1,21 @@
 #pragma once
-// Which losses of core machines a random schedule has drawn, so that it never asks for more at once
-// than a deployment's `tolerate`.
+// Tracks the losses of core machines that a random schedule has drawn, so that it never exceeds
+// what a deployment tolerates at once.
 #include <vector>
 
 namespace peppergate {
 
-/// Counts lost machines over time. Times are seconds of the schedule.
+/// Counts lost machines over time. Times are seconds since the start of the schedule.
 class LossLedger {
  public:
-  /// `tolerate`: machines that may be lost at once; `catchUp`: how long a machine still counts as
-  /// lost once it is back.
+  /// `tolerate`: the number of machines that may be lost at once; `catchUp`: how long a machine
+  /// still counts as lost after its return.
   LossLedger(int tolerate, double catchUp) : tolerate_(tolerate), catchUp_(catchUp) {}
 
-  /// Books `machines` as lost from a time until they are back; false, and nothing booked, if that
-  /// would be too many at any moment.
+  /// Records machines as lost from a time until their return. Returns false and records nothing if
+  /// too many would be lost at any moment.
   bool lose(int machines, double from, double back);
-  /// Books an event that is allowed only while no machine is lost, such as a loss of all at once.
+  /// Records an event that is allowed only while no machine is lost, such as a loss of all at once.
   bool loseAll(double from, double back);
   int tolerate() const { return tolerate_; }
   double catchUp() const { return catchUp_; }
--- a/src/sim/mixed_day.cc
+++ b/src/sim/mixed_day.cc
@@ -10,10 +10,10 @@
 namespace peppergate {
 namespace {
 
-constexpr double kFirstMoment = 0.5;  // seconds from the start of traffic
-constexpr double kClosingAfter = 6;   // the closing comes so long after all else is whole
-constexpr double kWholeAfter = 0.5;   // the last repairs come so long after the last trouble
-constexpr double kSettling = 19;      // traffic goes on so long after the last line
+constexpr double kFirstMoment = 0.5;  // seconds after the start of traffic
+constexpr double kClosingAfter = 6;   // seconds from the last repairs to the closing action
+constexpr double kWholeAfter = 0.5;   // seconds from the last fault to the last repairs
+constexpr double kSettling = 19;      // seconds of traffic after the last action
 
 ScheduleSize drawSize(Random& random, Interface interface) {
   ScheduleSize size;
@@ -39,7 +39,7 @@
   return text.str();
 }
 
-/// What ends every trouble that may still last.
+/// Actions that end every fault that may still be active.
 constexpr std::array<std::string_view, 7> kRepairs{
     "heal",       "thaw all",   "disk cores good", "throttle all 0",
     "loss 0.002", "late 0.003", "start all"};
@@ -54,7 +54,7 @@
 
 double timeOf(const std::string& line) { return std::strtod(line.c_str() + 3, nullptr); }
 
-/// What kind of failure it was, without its numbers.
+/// The kind of a failure: its text up to the first number or colon.
 std::string kindOf(const std::string& failure) {
   return failure.substr(0, failure.find_first_of(":0123456789"));
 }
--- a/src/sim/mixed_day.h
+++ b/src/sim/mixed_day.h
@@ -1,6 +1,6 @@
 #pragma once
-// Random schedules of every trouble that the simulator knows, for both interfaces: several at once,
-// two or three at the same moment, more than once a run.
+// Random schedules of all faults that the simulator supports, for both interfaces: several at once,
+// two or three at the same moment, at several moments of a run.
 #include <string>
 #include <utility>
 #include <vector>
@@ -9,7 +9,8 @@
 
 namespace peppergate {
 
-/// A random schedule as a scenario file in two parts, so that lines can be left out.
+/// A random schedule as the head and the action lines of a scenario file, so that lines can be
+/// removed.
 struct MixedDay {
   std::uint64_t seed = 0;
   Interface interface = Interface::kStreams;
@@ -18,7 +19,7 @@
   std::string text() const;
 };
 
-/// What a run of one schedule found.
+/// The result of a run of one schedule.
 struct MixedReport {
   std::string name;
   std::uint64_t seed = 0;
@@ -26,12 +27,12 @@
   std::vector<std::pair<std::string, double>> figures;
 };
 
-/// Draws a schedule. The same seed gives the same one.
+/// Draws a schedule; it depends only on the arguments.
 MixedDay drawMixedDay(std::uint64_t seed, Interface interface);
-/// Runs it under its seed.
+/// Runs a schedule under its seed.
 MixedReport runMixedDay(const MixedDay& day);
-/// Leaves out lines that a failing schedule doesn't need to fail in the same way. Runs it up to
-/// `mostRuns` times.
+/// Removes lines that a failing schedule doesn't need in order to fail in the same way. Runs the
+/// schedule up to `mostRuns` times.
 MixedDay shrinkMixedDay(const MixedDay& day, const MixedReport& report, int mostRuns);
 
 }  // namespace peppergate
--- a/src/sim/runner.h
+++ b/src/sim/runner.h
@@ -1,5 +1,5 @@
 #pragma once
-// Runs scenarios over seeds; the same seed replays exactly.
+// Runs scenarios under seeds. The same seed reproduces a run exactly.
 #include <absl/status/statusor.h>
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace peppergate {
 
-/// What one scenario did under one seed.
+/// The result of one scenario under one seed.
 struct RunReport {
   std::string scenario;
   std::uint64_t seed = 0;
@@ -18,11 +18,11 @@
   std::map<std::string, double> figures;
 };
 
-/// Runs one seed. Example: `runScenario(*parseScenario(text), 7).failures.empty()`.
+/// Runs a scenario under one seed.
 RunReport runScenario(const Scenario& scenario, std::uint64_t seed);
-/// Reads a file. Example: `loadScenario("scenarios/primary-killed.txt")`.
+/// Reads a scenario file.
 absl::StatusOr<Scenario> loadScenario(const std::string& path);
-/// The scenario files of a folder, in order. Example: `scenarioFiles("scenarios")`.
+/// The sorted paths of the scenario files in a directory.
 std::vector<std::string> scenarioFiles(const std::string& folder);
 
 }  // namespace peppergate
--- a/src/sim/sim_cluster.cc
+++ b/src/sim/sim_cluster.cc
@@ -10,14 +10,15 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kMostHeld = 20000;                 // events that wait for a frozen process
-constexpr Duration kToItself = Duration{1};              // a message within one process
-constexpr Duration kLookWhenHanging = milliseconds(20);  // how soon held-up bytes notice a heal
+constexpr std::size_t kMostHeld = 20000;     // maximum number of events queued for a frozen process
+constexpr Duration kToItself = Duration{1};  // latency of a message within one process
+constexpr Duration kLookWhenHanging = milliseconds(20);  // polling interval of stalled bytes
 constexpr Duration kTickPeriod = milliseconds(50);
-constexpr Duration kOneMoment = milliseconds(10);  // messages to many members that go out together
+constexpr Duration kOneMoment = milliseconds(10);  // broadcasts within this time are one burst
 constexpr Duration kLookWhenFrozen = milliseconds(20);
-constexpr Duration kLookForDisk = milliseconds(200);  // a start waits for a disk that can be read
-constexpr Duration kLongestBacklog = seconds(5);  // of a slowed process; what comes then is lost
+constexpr Duration kLookForDisk =
+    milliseconds(200);  // polling interval of a start that waits for its disk
+constexpr Duration kLongestBacklog = seconds(5);  // of a slowed process; later messages are lost
 constexpr std::uint64_t kFleetMark = 1;
 
 Duration costOf(const SimProcess& process) { return seconds(process.slowness / 1000); }
@@ -79,7 +80,7 @@
 
 void SimCluster::start(SimProcess& process) {
   if (process.alive || process.retired) return;
-  if (process.role == Role::kCore && !readable(process.drive)) {  // its loader fails or waits
+  if (process.role == Role::kCore && !readable(process.drive)) {  // its loader would fail or block
     after(kLookForDisk, [this, &process, life = process.life] {
       if (process.life == life) start(process);
     });
@@ -91,7 +92,7 @@
   process.stoppedAt = kForever;
   ++process.life;
   touch(process);
-  // Each machine's boot clock stands somewhere else; only its own differences count.
+  // Boot clocks of different machines aren't comparable, only differences on one machine are.
   process.clock = seconds(1000 + 100000 * random_.fraction());
   process.rate = 0.995 + 0.01 * random_.fraction();  // cheap clocks differ by about 1 %
   MemberRecord self;
@@ -112,7 +113,7 @@
   SimDisk& disk = process.drive.disk;
   DiskFound found{loadFiles(disk)};
   if (identityOn(found).value == 0) {
-    // Only its first disk is told that the fleet is new.
+    // Only the first disk carries the founding configuration.
     std::string identity =
         identityFile({random_.next() >> 1}, process.born ? Bootstrap{} : bootstrap);
     process.born = true;
@@ -170,7 +171,7 @@
 
 void SimCluster::stop(SimProcess& process) {
   if (!process.alive) return;
-  process.stopping = true;  // a frozen one takes the signal when it wakes, if it does in time
+  process.stopping = true;  // a frozen process handles the signal only if it thaws in time
   process.stoppedAt = now();
   deliver(process, DrainRequest{});
   if (process.role == Role::kCore) touch(process);
@@ -204,7 +205,7 @@
 
 void SimCluster::enqueue(SimProcess& process, const Event& event) {
   Duration wait = costOf(process) * static_cast<double>(process.backlog.size());
-  // A tick that would be late by more than one is dropped: the next one does its work.
+  // A tick that would be late by more than one period is dropped: the next one does its work.
   if (std::holds_alternative<Ticked>(event) && wait > kTickPeriod) return;
   if (std::holds_alternative<Arrived>(event) && wait > kLongestBacklog) return;
   process.backlog.push_back(event);
@@ -217,7 +218,7 @@
     if (process.frozen) return serveBacklog(process, kLookWhenFrozen);
     Event event = std::move(process.backlog.front());
     process.backlog.pop_front();
-    // The next one is begun first: what is handled here may add more.
+    // Schedules the next event first: handling this one may add more.
     if (!process.backlog.empty()) serveBacklog(process, costOf(process));
     handle(process, event);
   });
@@ -231,7 +232,7 @@
   }
 }
 
-/// A message on its way.
+/// A message in flight.
 struct SimCluster::Frame {
   std::string from, to;  // hosts
   Address sender;
@@ -250,7 +251,7 @@
 
 void SimCluster::send(SimProcess& from, const Send& command) {
   if (command.to == from.address) return sendToSelf(from, command.message);
-  // Every message goes through its wire form, as between real processes.
+  // Every message is encoded and decoded, as between real processes.
   transmit(from, command.to,
            std::make_shared<const std::string>(encodeFrame(kFleetMark, command.message)));
 }
--- a/src/sim/sim_cluster.h
+++ b/src/sim/sim_cluster.h
@@ -1,6 +1,6 @@
 #pragma once
-// What every simulated deployment shares, whatever its clients speak: time, machines with their
-// disks and clocks, the network between them, and the faults that befall them.
+// The parts of a simulated deployment that don't depend on the client interface: time, machines
+// with their disks and clocks, the network between them, and fault injection.
 #include <map>
 #include <memory>
 #include <string>
@@ -13,8 +13,8 @@
 
 namespace peppergate {
 
-/// The machines of one deployment under one seed. A world derives from it and adds engines, clients
-/// and operators. Not thread-safe; the same seed replays exactly.
+/// The machines of one deployment under one seed. A derived world adds engines, clients and
+/// operators. Not thread-safe. The same seed reproduces a run exactly.
 class SimCluster {
  public:
   virtual ~SimCluster();
@@ -26,39 +26,40 @@
   SimNetwork& network() { return network_; }
   std::vector<std::unique_ptr<SimProcess>>& processes() { return processes_; }
 
-  /// Does something later.
+  /// Schedules an action after a delay.
   void after(Duration delay, std::function<void()> what) { queue_.after(delay, std::move(what)); }
-  /// Whether what one host says reaches another now.
+  /// Whether messages of one host reach another now.
   bool reachable(const std::string& from, const std::string& to) const {
     return network_.reachable(from, to);
   }
-  /// Draws the time of one way through the network.
+  /// Draws a one-way network latency.
   Duration latency() { return network_.latency(); }
-  /// Gives an event to a process: now, once it thaws, or when a slowed one comes to it.
+  /// Delivers an event to a process: now, when it thaws, or when a slowed process gets to it.
   void deliver(SimProcess& process, const Event& event);
-  /// The core that leads now; null where none does.
+  /// The core that is the leader; null if there is none.
   SimProcess* leader();
-  /// The process that listens at an address; null where none does.
+  /// The process that listens at an address; null if there is none.
   SimProcess* processAt(const Address& address);
-  /// The process of a role with a number from 1 on; null where there is none.
+  /// The process of a role with a number, counted from 1; null if there is none.
   SimProcess* processOf(Role role, int number);
-  /// When core machines were last disturbed: roll-outs, for one, are judged on calm ones.
+  /// When a core machine was last disturbed; some checks, such as those of rollouts, need
+  /// undisturbed cores.
   MonotonicTime coreDisturbed() const { return coreDisturbed_; }
 
-  /// Starts a process that isn't alive, from what its disk holds.
+  /// Starts a process that isn't running from the files on its disk.
   void start(SimProcess& process);
-  /// Ends a process at once. Its files stay as they are. `planned`: it was told to go.
+  /// Ends a process at once; its files stay as they are. `planned`: it was asked to exit.
   void kill(SimProcess& process, bool planned = false);
-  /// Ends a process and takes from its disk what no sync covered.
+  /// Ends a process and simulates a power loss of its disk.
   void losePower(SimProcess& process);
   /// Ends a process and empties its disk.
   void wipe(SimProcess& process);
-  /// A process's machine is gone for good and another takes its place, empty, at a new address.
+  /// Replaces a process's machine by a new one with an empty disk and another address.
   void replace(SimProcess& process);
-  /// Tells a process to leave; it ends once it has drained, or after the time of grace.
+  /// Asks a process to exit: it ends once it has drained, or after the grace time.
   void stop(SimProcess& process);
 
-  /// Messages between processes and their bytes so far.
+  /// The number and bytes of messages between processes so far.
   std::uint64_t messages() const { return messages_; }
   std::uint64_t messageBytes() const { return messageBytes_; }
   std::uint64_t bytesAt(MonotonicTime from, MonotonicTime to) const;
@@ -66,43 +67,43 @@
  protected:
   SimCluster(std::uint64_t seed, MonotonicTime begin);
 
-  // What differs between worlds.
-  /// What fronts are called: "front" or "router".
+  // Implemented by each world.
+  /// The scenario word for request-serving processes: "front" or "router".
   virtual std::string frontWord() const = 0;
   virtual std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
                                          const DiskFound& found, const Bootstrap& bootstrap) = 0;
   virtual Bootstrap bootstrapOf(const SimProcess& process) const = 0;
   virtual void runCommands(SimProcess& process) = 0;
-  /// A process ended; it has no node any more.
+  /// Called after a process ended and its node was destroyed.
   virtual void processEnded(SimProcess& process, bool planned) = 0;
   virtual void frameUnreadable(const std::string& host) = 0;
-  /// Whether a process that was told to leave may end now.
+  /// Whether a process that was asked to exit may end now.
   virtual bool hasEnded(const SimProcess& process) const {
     return process.node->drained(process.local(now()));
   }
-  /// A process reads its settings again.
+  /// Makes a process reload its settings.
   virtual void reload(SimProcess& process) = 0;
   virtual Duration graceTime() const = 0;
 
   SimProcess& addProcess(Role role, int number, const Zone& zone);
-  /// A core machine; a spare one is off at first and doesn't found.
+  /// Adds a core machine; a spare one isn't started at first and never founds a fleet.
   void addCore(int number, const Zone& zone, bool spare);
-  /// Carries out a fault of machines, disks, clocks or the network; false if the verb is none of
-  /// these.
+  /// Carries out an action on machines, disks, clocks or the network; returns false for other
+  /// verbs.
   bool actOnMachines(Verb verb, const std::vector<std::string>& words);
-  /// The processes that words name: "core 2", "primary", "cores", "all", ...
+  /// The processes that words of a scenario name: "core 2", "primary", "cores", "all", ...
   std::vector<SimProcess*> targets(const std::vector<std::string>& words);
-  /// The hosts that a list of such words names, engines and "platform" among them.
+  /// The hosts that a list of such words names, including engines and "platform".
   std::vector<std::string> hostsIn(const std::vector<std::string>& words);
-  /// Notes that a process was disturbed just now.
+  /// Records that a process was disturbed now.
   void touch(SimProcess& process);
-  /// Starts all but the spare ones, within `spread` of each other and in any order.
+  /// Starts all processes but the spares, in random order within `spread`.
   void startAll(Duration spread);
-  /// A tick of each process; those that have drained end.
+  /// Ticks each process and ends those that have drained.
   void tickProcesses();
 
   // Commands of processes.
-  /// Prints what a process notes, where PEPPERGATE_SIM_LOG is set.
+  /// Prints a process's log line if PEPPERGATE_SIM_LOG is set.
   void noteState(const SimProcess& process, const NoteState& command) const;
   void send(SimProcess& from, const Send& command);
   void broadcast(SimProcess& from, const Broadcast& command);
@@ -137,7 +138,8 @@
   void oneWay(const std::vector<std::string>& words);
   void touchHosts(const std::vector<std::string>& hosts);
 
-  std::map<std::string, SimProcess*> roles_;  // who has a role, or had it when somebody last led
+  std::map<std::string, SimProcess*>
+      roles_;  // processes by their role under the current or last leader
   MonotonicTime begin_;
   MonotonicTime coreDisturbed_{};
   std::uint64_t messages_ = 0, messageBytes_ = 0;
--- a/src/sim/sim_disk.cc
+++ b/src/sim/sim_disk.cc
@@ -10,7 +10,7 @@
     content.clear();
     return;
   }
-  // A later write may have survived where an earlier one didn't: what lies between reads as zeros.
+  // A later write may have survived where an earlier one didn't: the gap reads as zeros.
   std::size_t end = write.offset + write.bytes.size();
   if (content.size() < end) content.resize(end, '\0');
   content.replace(write.offset, write.bytes.size(), write.bytes);
@@ -92,9 +92,9 @@
     std::uint64_t fate = luck == Luck::kEachAlone ? random.below(4) : 0;
     if (luck == Luck::kAllVanish || fate == 3) continue;
     Write kept = write;
-    if (fate == 1) {  // only its beginning came to the disk
+    if (fate == 1) {  // only a prefix was written
       kept.bytes.resize(random.below(kept.bytes.size() + 1));
-    } else if (fate == 2 && !kept.bytes.empty()) {  // a part in its middle didn't
+    } else if (fate == 2 && !kept.bytes.empty()) {  // a range within it was not written
       std::size_t from = random.below(kept.bytes.size());
       std::size_t size = 1 + random.below(kept.bytes.size() - from);
       std::fill_n(kept.bytes.begin() + static_cast<std::ptrdiff_t>(from), size, '\0');
@@ -111,7 +111,7 @@
     names.erase(change.name);
     return;
   }
-  // A rename that is torn leaves both names.
+  // A torn rename leaves both names.
   if (change.kind == NameChangeKind::kRenamed && fate != 2) names.erase(change.from);
   names[change.name] = change.inode;
 }
@@ -122,7 +122,7 @@
   Names names = syncedNames_;
   for (const NameChange& change : unsyncedNames_) survive(change, luck, random, names);
   names_.clear();
-  std::map<const Inode*, InodePointer> kept;  // two names of one file stay two names of one file
+  std::map<const Inode*, InodePointer> kept;  // two names of one file still share it
   for (const auto& [name, inode] : names) {
     InodePointer& after = kept[inode.get()];
     if (after == nullptr) {
--- a/src/sim/sim_disk.h
+++ b/src/sim/sim_disk.h
@@ -1,7 +1,7 @@
 #pragma once
-// A simulated disk with one folder, at the level of system calls. A process that reads sees every
-// call that was made. A power loss keeps what a sync covered; of everything else, each write and
-// each change of the folder survives, vanishes or is torn by itself.
+// A simulated disk with one directory, at the level of system calls. Reads see every earlier call.
+// A power loss keeps what a sync covered; each other write and each other change of the directory
+// independently survives, is lost or is torn.
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -14,42 +14,42 @@
 
 namespace peppergate {
 
-/// How a disk behaves. The caller that simulates time carries out `kSlow` and `kHanging`.
+/// How a disk behaves. The caller, which simulates time, implements `kSlow` and `kHanging`.
 enum class DiskMode : std::uint8_t {
   kGood,
   kSlow,         // each call takes longer by a factor
-  kHanging,      // calls don't return until the mode ends; then they are carried out
+  kHanging,      // calls block until the mode ends and are then carried out
   kFailingSync,  // a sync returns an error and may have covered anything or nothing
-  kFull,         // every write is refused, nothing else
+  kFull,         // every write fails; other calls succeed
 };
 
-/// One folder of files. It belongs to a machine: files outlive its processes. Not thread-safe.
+/// One directory of files. It belongs to a machine: files outlive its processes. Not thread-safe.
 class SimDisk {
  public:
-  /// Opens a file for writing with no content; makes it if there is none.
+  /// Truncates a file; creates it if there is none.
   void truncate(const std::string& name);
-  /// Adds bytes at the end of a file that exists; does nothing to one that doesn't.
+  /// Appends bytes to a file; does nothing if there is none.
   void append(const std::string& name, std::string_view bytes);
-  /// Makes a file's content last. The name lasts only once the folder is synced.
+  /// Makes a file's content durable. Its name is durable only after `syncFolder`.
   void sync(const std::string& name);
-  /// Gives a file another name; a file that had that name is gone. False if there is none.
+  /// Renames a file and replaces any file of the new name. Returns false if there is no such file.
   bool rename(const std::string& from, const std::string& to);
-  /// Removes a name. False if there is none.
+  /// Removes a file. Returns false if there is none.
   bool remove(const std::string& name);
-  /// Makes all names, and the absence of those removed, last.
+  /// Makes all names, and the removal of names, durable.
   void syncFolder();
-  /// Makes everything last, as a loader does that must not act on what a power loss can take back.
+  /// Makes everything durable, for a loader that must not act on what a power loss can undo.
   void syncAll();
 
-  /// The files as a process reads them now.
+  /// The files as a process reads them.
   std::map<std::string, std::string> files() const;
-  /// Their names, in order.
+  /// The sorted names of the files.
   std::vector<std::string> names() const;
   bool empty() const { return names_.empty(); }
-  /// Power is lost: each change that no sync covered survives, vanishes or is torn by itself. At
-  /// one loss of four all such changes vanish, and at one of four all survive.
+  /// Simulates a power loss: each change that no sync covered independently survives, is lost or is
+  /// torn. In one of four losses all such changes are lost, and in one of four all survive.
   void losePower(Random& random);
-  /// The disk is replaced by an empty one.
+  /// Replaces the disk by an empty one.
   void wipe();
 
  private:
@@ -59,8 +59,8 @@
     std::string bytes;
   };
   struct Inode {
-    std::string content;  // as read now
-    std::string synced;   // as the last sync left it
+    std::string content;  // as read by a process
+    std::string synced;   // as of the last sync
     std::vector<Write> unsynced;
   };
   using InodePointer = std::shared_ptr<Inode>;
@@ -68,8 +68,8 @@
   enum class NameChangeKind : std::uint8_t { kMade, kRenamed, kRemoved };
   struct NameChange {
     NameChangeKind kind;
-    std::string name;  // that was made or removed, or the new one
-    std::string from;  // the old one of a rename
+    std::string name;  // the name made or removed, or the new name of a rename
+    std::string from;  // the old name of a rename
     InodePointer inode;
   };
   enum class Luck : std::uint8_t { kAllVanish, kAllSurvive, kEachAlone };
@@ -78,8 +78,8 @@
   static std::string afterPowerLoss(const Inode& inode, Luck luck, Random& random);
   static void survive(const NameChange& change, Luck luck, Random& random, Names& names);
 
-  Names names_;        // as read now
-  Names syncedNames_;  // as the last sync of the folder left them
+  Names names_;        // as read by a process
+  Names syncedNames_;  // as of the last sync of the directory
   std::vector<NameChange> unsyncedNames_;
 };
 
--- a/src/sim/sim_disk_task.cc
+++ b/src/sim/sim_disk_task.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::int64_t kSteps = 5;
-constexpr std::uint64_t kSlowestMilliseconds = 4;         // of a good disk, for a file
-constexpr Duration kRetryWhenFull = milliseconds(200);    // as io/disk_task does
-constexpr Duration kLookWhenHanging = milliseconds(100);  // how soon the end of a hang is noticed
+constexpr std::uint64_t kSlowestMilliseconds = 4;       // longest write of a file on a healthy disk
+constexpr Duration kRetryWhenFull = milliseconds(200);  // as io/disk_task does
+constexpr Duration kLookWhenHanging = milliseconds(100);  // polling interval for the end of a hang
 constexpr std::string_view kAside = ".aside";
 
 std::string asideOf(const std::string& name) { return name + std::string(kAside); }
@@ -70,14 +70,14 @@
   const std::size_t half = command.content.size() / 2;
   switch (step) {
     case Step::kFirstHalf:
-      // A full disk changes nothing; the write is tried again until there is space.
+      // On a full disk nothing changes; the write is retried until there is space.
       if (drive_.mode == DiskMode::kFull) return schedule(step, kRetryWhenFull);
       disk.truncate(aside);
       disk.append(aside, std::string_view(command.content).substr(0, half));
       return schedule(Step::kSecondHalf, stepTime_);
     case Step::kSecondHalf:
       if (drive_.mode == DiskMode::kFull) {
-        disk.remove(aside);  // gives back its space
+        disk.remove(aside);  // frees its space
         return schedule(Step::kFirstHalf, kRetryWhenFull);
       }
       disk.append(aside, std::string_view(command.content).substr(half));
@@ -100,7 +100,7 @@
   TicketId ticket = current().ticket;
   jobs_.pop_front();
   writing_ = false;
-  auto self = shared_from_this();  // the answer may end the process
+  auto self = shared_from_this();  // keeps this alive: the answer may end the process
   answer_(FileWritten{ticket, synced});
   if (!writing_) next();
 }
--- a/src/sim/sim_disk_task.h
+++ b/src/sim/sim_disk_task.h
@@ -1,6 +1,6 @@
 #pragma once
-// Carries out a process's file commands on its machine's simulated disk, step by step and one after
-// the other, as io/disk_task does on a real one: write aside, sync, rename, sync the folder.
+// Executes a process's file commands on its machine's simulated disk, one after the other and in
+// the steps of io/disk_task: write a temporary file, sync it, rename it, sync the directory.
 #include <deque>
 #include <functional>
 #include <map>
@@ -14,19 +14,19 @@
 
 namespace peppergate {
 
-/// A machine's disk with its condition.
+/// A machine's disk with its fault state.
 struct SimDrive {
   SimDisk disk;
   DiskMode mode = DiskMode::kGood;
-  double slowness = 0;  // the factor of `kSlow`; 0: 150 to 650 ms for each file
+  double slowness = 0;  // slowdown factor of `kSlow`; 0: 150 to 650 ms for each file
 };
 
-/// One process's file commands. It ends with the process: what was done by then stays done. Its
-/// owner keeps it in a shared pointer, so that steps under way notice its end.
+/// The queue of one process's file commands. It ends with the process; completed steps remain on
+/// the disk. Its owner holds it in a shared pointer, so that scheduled steps notice its end.
 class SimDiskTask : public std::enable_shared_from_this<SimDiskTask> {
  public:
   using Answer = std::function<void(const FileWritten&)>;
-  /// `isFrozen` tells whether the process stands still; no new step is begun then.
+  /// No new step begins while `isFrozen` returns true.
   SimDiskTask(EventQueue& queue, Random& random, SimDrive& drive, std::function<bool()> isFrozen,
               Answer answer);
 
@@ -57,8 +57,8 @@
   Duration stepTime_, lastStepTime_;
 };
 
-/// The files that a process finds at its start, as the product's loader leaves them: what never got
-/// its name is removed, and what is read is made to last first.
+/// Loads the files at the start of a process as the product's loader does: removes temporary files
+/// and syncs everything before reading it.
 std::map<std::string, std::string> loadFiles(SimDisk& disk);
 
 }  // namespace peppergate
--- a/src/sim/sim_faults.cc
+++ b/src/sim/sim_faults.cc
@@ -1,4 +1,4 @@
-// The faults of machines, disks, clocks and the network that both kinds of worlds know.
+// Injects the faults of machines, disks, clocks and the network that both interfaces' worlds share.
 #include <algorithm>
 #include <cstdlib>
 
@@ -20,7 +20,7 @@
 }  // namespace
 
 void SimCluster::noteRoles() {
-  // Where nobody leads, roles are those when somebody last did.
+  // Without a leader, the roles under the last leader still apply.
   SimProcess* primary = leader();
   if (primary == nullptr) return;
   const View view = primary->core().leadership().view();
@@ -173,7 +173,7 @@
       process.slowness = numberOf(words.back());
       touch(process);
       return true;
-    case Verb::kLeap:  // its boot clock goes on as if that time had passed
+    case Verb::kLeap:  // its boot clock jumps by that time
       process.clock = process.clock + seconds(numberOf(words.back()));
       return true;
     default:
--- a/src/sim/sim_process.h
+++ b/src/sim/sim_process.h
@@ -1,5 +1,5 @@
 #pragma once
-// One simulated daemon with its machine: address, clock, disk, and how it fares just now.
+// One simulated process and its machine: address, clock, disk and current faults.
 #include <deque>
 #include <functional>
 #include <memory>
@@ -13,7 +13,8 @@
 
 namespace peppergate {
 
-/// One daemon with its machine's clock and disk. The disk outlives the daemon, unless it is wiped.
+/// One process with its machine's clock and disk. The disk outlives the process, unless it is
+/// wiped.
 struct SimProcess {
   std::string host;
   Address address;
@@ -22,32 +23,32 @@
   std::unique_ptr<Node> node;
   bool alive = false;
   bool frozen = false;
-  bool stopping = false;   // it was told to leave
-  bool spare = false;      // off until it is started by its number; it never founds
-  bool retired = false;    // its machine is gone for good, or will be once it has left
-  bool bootstraps = true;  // until it loses its first disk
-  bool born = false;       // it had its first disk
-  Duration clock;          // where its boot clock stood when the simulated time was 0
-  double rate = 1;         // how fast its boot clock goes
-  double slowness = 0;     // 0: not slowed; else each event costs so many milliseconds
-  std::uint64_t life = 0;  // rises at each start and end
+  bool stopping = false;   // it was asked to drain and exit
+  bool spare = false;      // not running until an action starts it; never founds a fleet
+  bool retired = false;    // its machine never starts again
+  bool bootstraps = true;  // it may found a fleet: until its first disk is wiped
+  bool born = false;       // its first disk has been initialized
+  Duration clock;          // value of its boot clock at simulated time 0
+  double rate = 1;         // speed of its boot clock relative to simulated time
+  double slowness = 0;     // milliseconds that each event takes; 0: not slowed
+  std::uint64_t life = 0;  // incremented at each start and end
   SimDrive drive;
   std::shared_ptr<SimDiskTask> diskTask;
-  std::vector<std::function<void()>> held;  // what arrives while it is frozen
-  std::deque<Event> backlog;                // what a slowed process has not come to yet
-  MonotonicTime stoppedAt = kForever;       // when it was told to leave
-  MonotonicTime reloadedAt = kNever;        // it was last told to read its settings again
-  MonotonicTime disturbed{};                // when it last began, froze, woke or was cut off
-  MonotonicTime withoutList = kNever;       // when last no chain of members led to the platform
-  MonotonicTime burstSince = kNever;        // of what it tells many members at one moment:
-  std::uint64_t burstBytes = 0;             // so far,
-  std::uint64_t largestBurst = 0;           // and at worst
+  std::vector<std::function<void()>> held;  // deliveries queued while it is frozen
+  std::deque<Event> backlog;                // events that a slowed process hasn't handled yet
+  MonotonicTime stoppedAt = kForever;       // when it was asked to drain and exit
+  MonotonicTime reloadedAt = kNever;        // when it was last told to reload its settings
+  MonotonicTime disturbed{};           // when it last started, froze, thawed or was partitioned
+  MonotonicTime withoutList = kNever;  // when it last had no path to the platform's list
+  MonotonicTime burstSince = kNever;   // start of the current burst of broadcasts
+  std::uint64_t burstBytes = 0;        // sent in the current burst
+  std::uint64_t largestBurst = 0;      // bytes of the largest burst so far
 
-  /// Its own boot clock at a simulated time.
+  /// The value of its boot clock at a simulated time.
   MonotonicTime local(MonotonicTime now) const {
     return MonotonicTime{} + clock + (now - MonotonicTime{}) * rate;
   }
-  /// Its node; only for a process of the right kind that is alive.
+  /// The node as its concrete type; only for a live process of that kind.
   CoreNode& core() const { return static_cast<CoreNode&>(*node); }
   FrontNode& front() const { return static_cast<FrontNode&>(*node); }
   RouterNode& router() const { return static_cast<RouterNode&>(*node); }
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -1,4 +1,4 @@
-// The simulated deployment: its parts, its clock and its network.
+// The simulated deployment: its processes, engines and main loop.
 #include "sim/world.h"
 
 #include <algorithm>
@@ -10,8 +10,9 @@
 namespace {
 
 constexpr Duration kTick = milliseconds(50);
-const Address kListAddress{"10.0.3.1:80"};   // the platform's
-constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and settling
+const Address kListAddress{"10.0.3.1:80"};  // of the platform
+constexpr Duration kAfterRun =
+    seconds(14);  // until the last deadlines have passed and the fleet has settled
 
 std::string zoneOf(int number) { return "district" + std::to_string(number % 4 + 1); }
 
@@ -88,7 +89,7 @@
 void World::frameUnreadable(const std::string&) { checker_->fail("frame-unreadable"); }
 
 void World::findWaysToList() {
-  // Who hears the platform's list, itself or from a member that does.
+  // Finds the routers that get the platform's list, directly or through other routers.
   if (!network_.hasCuts()) return;
   std::set<const SimProcess*> hears;
   for (bool more = true; more;) {
@@ -117,7 +118,7 @@
 }
 
 void World::firstSetup() {
-  // The operator waits for a primary, then applies the whole first setup.
+  // The operator waits for a leader, then applies the complete initial setup.
   if (leader() == nullptr) {
     after(milliseconds(100), [this] { firstSetup(); });
     return;
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -1,5 +1,6 @@
 #pragma once
-// A simulated deployment: time, network, disks and faults, with the real machines inside.
+// A simulated deployment of the streaming interface: the real node state machines on simulated
+// time, network and disks, with fault injection.
 #include <functional>
 #include <map>
 #include <memory>
@@ -20,49 +21,49 @@
   bool alive = true;
   bool listed = true;
   double linkFactor = 1;
-  Duration reportDelay;  // reports come so late
+  Duration reportDelay;  // added to the answers of /kept
   bool reportsOff = false;
-  std::string garble;  // repeat, skip, foreign, early: how its answers go wrong
+  std::string garble;  // corruption of answers: repeat, skip, foreign or early
   std::uint64_t life = 0;
-  double fetching = 0;  // rates now on its link, megabytes a second
+  double fetching = 0;  // sum of the current fetch rates on its link, megabytes per second
 };
 
-/// What an operator asked for and heard.
+/// A change that an operator requested, with its outcome.
 struct SimChange {
   std::string id;
   Json body;
   MonotonicTime asked, done = kForever;
-  MonotonicTime lastAsked{};  // the try that was answered
+  MonotonicTime lastAsked{};  // of the attempt that was answered
   int tries = 0;
-  std::string outcome;  // empty while open
+  std::string outcome;  // empty while the change is pending
   SectionVersion version;
-  std::string tenant;  // a stamp's
-  std::string key;     // a withdrawal's
+  std::string tenant;  // that the change adds
+  std::string key;     // that the change withdraws
   bool retry = true;
   MonotonicTime nextTry{};
   std::uint64_t ticket = 0;
 };
 
-/// How the fetches of a run went on the links.
+/// Statistics of the prefix fetches of a simulation run.
 struct FetchFigures {
   double count = 0;
-  double over = 0;    // began while a link on the path was asked for more than its size
-  double excess = 0;  // sum over those of what was asked above the size, in sizes
-  double took = 0;    // seconds
+  double over = 0;    // fetches that began while a link on the path was overbooked
+  double excess = 0;  // sum over those of the booked rate above the capacity, in capacities
+  double took = 0;    // sum of the durations in seconds
   double megabytes = 0;
-  double rates = 0;  // sum of the rates that were asked for
+  double rates = 0;  // sum of the requested rates
 };
 
 class Callers;
 class Checker;
 
-/// A simulated fleet of fronts, with engines, a store, callers and operators.
+/// A simulated fleet of routers, with engines, a store, clients and operators.
 class World : public SimCluster {
  public:
   World(const Scenario& scenario, std::uint64_t seed);
   ~World() override;
 
-  /// Runs warm-up, traffic, faults and the end.
+  /// Runs the whole scenario: warm-up, traffic with faults, and the final checks.
   void run();
   const Scenario& scenario() const { return scenario_; }
   Checker& checker() { return *checker_; }
@@ -71,7 +72,7 @@
   const std::vector<std::unique_ptr<SimEngine>>& engines() const { return engines_; }
   SimEngine& store() { return *engines_.back(); }
 
-  // Operators.
+  // Operators' changes.
   void change(Json body, bool retry = true, const std::string& tenant = {},
               const std::string& key = {});
   std::vector<SimChange>& changes() { return changes_; }
@@ -89,7 +90,7 @@
     double rate = 0;
   };
   friend struct CommandRunner;
-  // Of the cluster.
+  // SimCluster:
   std::string frontWord() const override { return "front"; }
   std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
                                  const DiskFound& found, const Bootstrap& bootstrap) override;
@@ -119,7 +120,7 @@
   std::string hostAt(const Address& address);
   std::string listText() const;
   void raiseList() { ++listVersion_; }
-  // Actions, in world_actions.cc.
+  // Actions of the scenario, in world_actions.cc.
   void act(const Action& action);
   bool actOnEngine(const Action& action);
   bool actAsOperator(const Action& action);
@@ -131,7 +132,7 @@
   void namedToEngines(WeightsVersion version);
 
   Scenario scenario_;
-  std::vector<std::unique_ptr<SimEngine>> engines_;  // the store last
+  std::vector<std::unique_ptr<SimEngine>> engines_;  // the store is last
   std::vector<std::shared_ptr<Run>> runs_;
   std::vector<SimChange> changes_;
   std::map<std::string, double> rackFetching_;
--- a/src/sim/world_actions.cc
+++ b/src/sim/world_actions.cc
@@ -1,4 +1,4 @@
-// The faults and operators' deeds of scenarios, carried out.
+// Carries out the faults and the operators' actions of scenarios.
 #include <algorithm>
 
 #include "core/digest.h"
@@ -49,7 +49,7 @@
       engine.reportsOff = words.at(2) == "off";
       engine.reportDelay = words.at(2) == "late" ? seconds(1.2) : Duration{};
       return true;
-    case Verb::kRestart: {  // a crash and a start at once, perhaps under older weights
+    case Verb::kRestart: {  // a crash and an immediate start, optionally with older weights
       killEngine(engine);
       engine.alive = true;
       WeightsVersion weights = words.size() > 2
@@ -96,7 +96,7 @@
 }
 
 void World::large(std::size_t bytes) {
-  // A whole setup of about so many bytes: thousands of tenants beside the day's own.
+  // A complete setup of about this size: thousands of tenants besides those of the profile.
   std::string name = "large" + std::to_string(++stamps_);
   Json body = Json::parse(firstSetupBody(scenario_.profile, "1.1"));
   body.erase("basedOn");
--- a/src/sim/world_commands.cc
+++ b/src/sim/world_commands.cc
@@ -1,4 +1,4 @@
-// Runs the machines' commands: files, web calls, shots and answers.
+// Executes the nodes' commands: files, HTTP calls, attempts and answers.
 #include <algorithm>
 
 #include "sim/callers.h"
@@ -7,7 +7,7 @@
 
 namespace peppergate {
 
-/// Gives each command to the part of the world that carries it out.
+/// Dispatches each command of a process to the world.
 struct CommandRunner {
   World& world;
   SimProcess& process;
@@ -24,7 +24,7 @@
   void operator()(const DeclineStream& command) const { world.callers().declined(command); }
   void operator()(const AnswerWeb& command) const { world.answeredOperator(command); }
   void operator()(const NoteState& command) const { world.noteState(process, command); }
-  /// What only routers do has no place in this world.
+  /// Commands of the other interface aren't expected here.
   template <class Other>
   void operator()(const Other&) const {
     process.node->outbox().count("commands.unknown");
@@ -127,7 +127,8 @@
     if (base && !body.contains("basedOn")) {
       const SectionVersions& have = static_cast<FrontNode&>(*target.node).follower().have();
       body["basedOn"] = versionText(body["kind"] == "weights" ? have.weights : have.setup);
-      if (!change.retry) change.body["basedOn"] = body["basedOn"];  // a racer keeps its base
+      if (!change.retry)
+        change.body["basedOn"] = body["basedOn"];  // a racing change keeps its base version
     }
     change.ticket = ++lastTicket_;
     deliver(target, OperatorRequest{{change.ticket}, "POST", "/change", body.dump()});
@@ -166,7 +167,7 @@
 }
 
 void World::namedToEngines(WeightsVersion) {
-  // The stand-ins are told by the operator, not by the fleet, what is named now.
+  // The engine models learn the acknowledged version from the operator, not from the fleet.
   std::uint64_t version = 1;
   for (const auto& change : changes_)
     if (change.outcome == "done" && change.body["kind"] == "weights") ++version;
--- a/src/sim/world_engines.cc
+++ b/src/sim/world_engines.cc
@@ -1,4 +1,4 @@
-// Shots on their way, engines at work, and parts over crowded links.
+// Attempts in flight, the engines' generation, and prefix fetches over shared links.
 #include <algorithm>
 
 #include "sim/callers.h"
@@ -47,12 +47,12 @@
 
 void World::arriveRun(const std::shared_ptr<Run>& run) {
   SimEngine& engine = *engines_[run->engine];
-  if (!reachable(run->process->host, engine.host)) return;  // the bytes never come
+  if (!reachable(run->process->host, engine.host)) return;  // the bytes never arrive
   if (!engine.alive || engine.life != run->engineLife) {
     endRun(run, ShotTurn::kBroken);
     return;
   }
-  // A caller that went away meanwhile does not unsend what is on the wire.
+  // A cancellation by the caller doesn't recall bytes that were already sent.
   auto verdict = engine.model->begin(run->ask, now());
   if (verdict.status != 200) {
     if (!run->ended) endRun(run, ShotTurn::kDeclined, verdict.status);
@@ -66,7 +66,7 @@
     double megabytes = 0;
     for (const auto& name : engine.model->lacking(run->ask)) {
       const RealPart* part = source->model->part(name);
-      if (part == nullptr) continue;  // a source that turned out empty costs the prefill
+      if (part == nullptr) continue;  // not at the source any more: it is computed instead
       for (const auto& asked : run->ask.parts)
         if (asked.name == name) megabytes += static_cast<double>(asked.characters) * 200 / 1e6;
       engine.model->collected(*part);
@@ -126,7 +126,7 @@
     if (engine.garble == "repeat" && piece.value > 0) --turned.piece.value;
     else if (engine.garble == "skip") ++turned.piece.value;
     else if (engine.garble == "foreign") turned.echo = "another-request";
-    else if (engine.garble == "early") last = true;  // ends well before its last piece
+    else if (engine.garble == "early") last = true;  // ends before its last piece
   }
   Duration delay = latency();
   after(delay, [this, run, turned, last] {
--- a/tests/disk_power_test.cc
+++ b/tests/disk_power_test.cc
@@ -1,5 +1,5 @@
-// The real disk task over a table of system calls that work on a simulated disk: power lost after
-// each call, the process ended after each call, and each call failing in turn.
+// Tests of the real disk task with system calls that work on a simulated disk: power loss after
+// each call, process exit after each call, and failure of each call in turn.
 #include <errno.h>
 #include <fcntl.h>
 
@@ -20,20 +20,20 @@
 constexpr long kNoCall = -1;
 constexpr std::uint64_t kSeeds = 12;
 
-/// The machine under the fake calls. One at a time; the calls of a table have no state of their
-/// own.
+/// The state behind the fake system calls. The calls are plain functions without state of their
+/// own, so one instance is active at a time.
 struct FakeMachine {
   SimDisk disk;
-  std::map<int, std::string> open;  // names of open files; empty for the folder
+  std::map<int, std::string> open;  // names of open files; empty for the directory
   int lastDescriptor = 2;
-  long callsLeft = kNoCall;  // until the machine, or the process, is gone: then nothing is done
-  long failing = kNoCall;    // the number of the one call that fails, from 1
+  long callsLeft = kNoCall;  // until a power loss or process exit; later calls fail
+  long failing = kNoCall;    // the number of the call that fails, counted from 1
   long calls = 0;
   int error = EIO;
-  std::size_t most = SIZE_MAX;  // bytes that one write takes
+  std::size_t most = SIZE_MAX;  // maximum bytes that one write accepts
   std::vector<std::string> log;
 
-  /// Whether the next call is carried out; sets errno where it isn't.
+  /// Returns whether the next call succeeds; sets errno if it doesn't.
   bool step(const std::string& call) {
     log.push_back(call);
     ++calls;
@@ -97,7 +97,7 @@
 
 using Files = std::map<std::string, std::string>;
 
-/// What a core writes: each file newer by name than the one before.
+/// The writes of a core: each name sorts after the one before.
 struct Written {
   std::string name, content;
 };
@@ -105,8 +105,8 @@
                                    {"voter.2", "the second promise, longer"},
                                    {"voter.3", "the third"}};
 
-/// Lets the real task write all of them, dropping older ones in between; gives how many it
-/// acknowledged.
+/// Lets the real task write all files and remove older ones in between. Returns the number of
+/// acknowledged writes.
 std::size_t writeAll(const std::string& folder) {
   std::vector<std::promise<bool>> answers(kWrites.size());
   std::size_t acknowledged = 0;
@@ -116,10 +116,11 @@
       kFake);
   for (std::size_t index = 0; index < kWrites.size(); ++index) {
     disk.write({{index}, kWrites[index].name, kWrites[index].content});
-    // As a voter does: nothing more is written after a failed sync.
+    // Like a voter, writes nothing more after a failed sync.
     if (!answers[index].get_future().get()) break;
     acknowledged = index + 1;
-    // The last is not waited for, and so not sent: all calls are the same in each run.
+    // Not after the last write: nothing would wait for the removal, and the number of calls would
+    // vary.
     if (acknowledged < kWrites.size()) disk.dropOlder({"voter", 1});
   }
   return acknowledged;
@@ -131,7 +132,7 @@
   return loaded.ok() ? *loaded : Files{};
 }
 
-/// The newest file by name is whole and no older than what was acknowledged.
+/// Checks that the newest file by name is complete and no older than the last acknowledged one.
 void checkNewest(const Files& files, std::size_t acknowledged, const std::string& where) {
   if (files.empty()) {
     CHECK_TEXT(acknowledged == 0, where.c_str());
@@ -160,7 +161,7 @@
     std::filesystem::remove_all(folder);
   }
   void fresh() { fake = FakeMachine{}; }
-  /// How many calls all writes take when nothing fails.
+  /// The number of calls of all writes when nothing fails.
   long allCalls() {
     fresh();
     CHECK_EQUAL(kWrites.size(), writeAll(folder));
@@ -169,10 +170,10 @@
   void revive() { fake.callsLeft = fake.failing = kNoCall; }
 };
 
-TEST(DiskPower, WhateverCallPowerIsLostAfterWhatWasAcknowledgedIsThere) {
+TEST(DiskPower, AcknowledgedWritesSurvivePowerLossAfterAnyCall) {
   long calls = allCalls();
   CHECK(calls >= 24);
-  std::set<std::size_t> seen;  // how many were acknowledged
+  std::set<std::size_t> seen;  // numbers of acknowledged writes
   for (long last = 0; last <= calls; ++last) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       fresh();
@@ -190,8 +191,9 @@
   CHECK_EQUAL(kWrites.size() + 1, seen.size());
 }
 
-TEST(DiskPower, AProcessThatEndsAfterAnyCallLeavesAFileThatPowerCantTakeBack) {
-  // The next process acts on what it read, so a power loss after that must not undo it.
+TEST(DiskPower, PowerLossDoesNotUndoWhatTheNextProcessRead) {
+  // A process exits after any call. The next one acts on what it read, so a power loss after that
+  // must not undo it.
   long calls = allCalls();
   for (long last = 0; last <= calls; ++last) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -209,7 +211,7 @@
   }
 }
 
-TEST(DiskPower, AnyOneFailingCallLeavesNoYesWithoutAFile) {
+TEST(DiskPower, NoWriteIsAcknowledgedWithoutItsFileIfAnyCallFails) {
   long calls = allCalls();
   for (int error : {EIO, ENOSPC}) {
     for (long failing = 1; failing <= calls; ++failing) {
@@ -227,17 +229,17 @@
   }
 }
 
-TEST(DiskPower, AFullDiskAtStartIsReadAllTheSame) {
+TEST(DiskPower, FullDiskCanBeReadAtStart) {
   fresh();
   CHECK_EQUAL(kWrites.size(), writeAll(folder));
   fake.error = ENOSPC;
-  fake.failing = fake.calls + 2;  // the write of the probe
+  fake.failing = fake.calls + 2;  // the loader's test write
   Files read = loadAll(folder);
   checkNewest(read, kWrites.size(), "full");
   CHECK_EQUAL(2, read.size());
 }
 
-TEST(DiskPower, ALoaderWhoseSyncFailsReadsNothing) {
+TEST(DiskPower, LoadFailsIfAnySyncFails) {
   fresh();
   CHECK_EQUAL(kWrites.size(), writeAll(folder));
   long before = fake.calls;
--- a/tests/hollow_test.cc
+++ b/tests/hollow_test.cc
@@ -1,4 +1,4 @@
-// The hollow fleet behaves as a fleet: it becomes whole, takes changes, notices what stopped.
+// Tests of the fleet for cost measurements: it forms, applies changes and detects stopped members.
 #include "sim/hollow_measures.h"
 #include "sim/runner.h"
 #include "sim/world.h"
@@ -26,7 +26,7 @@
 
 TEST_GROUP(Hollow){};
 
-TEST(Hollow, EachKindOfMessageHasItsName) {
+TEST(Hollow, MessageKindNamesMatchTheWireNames) {
   STRCMP_EQUAL("Shuffle", std::string(messageKindName(Message{Shuffle{}}.index())).c_str());
   STRCMP_EQUAL("UsageNote",
                std::string(messageKindName(Message{UsageNotification{}}.index())).c_str());
@@ -37,7 +37,7 @@
                std::string(messageKindName(Message{PrefixBlockRequest{}}.index())).c_str());
 }
 
-TEST(Hollow, AFleetFoundsItselfAndKnowsAllMembers) {
+TEST(Hollow, FleetElectsALeaderAndMembersLearnOfEachOther) {
   HollowFleet fleet(smallShape());
   fleet.run(seconds(6));
   CHECK(fleet.primary().has_value());
@@ -46,32 +46,32 @@
   UNSIGNED_LONGS_EQUAL(0, fleet.wronglyDead());
 }
 
-TEST(Hollow, AChangeComesInForceEverywhereBeforeItsYes) {
+TEST(Hollow, ChangeIsInstalledEverywhereBeforeItIsAcknowledged) {
   Json told = measureFleet(smallShape(), shortPlan());
   UNSIGNED_LONGS_EQUAL(1, told["changes"]["inForce"].size());
   CHECK(told["changes"]["inForce"][0] < told["changes"]["yes"][0]);
   CHECK(told["changes"]["yes"][0] < 2.0);
 }
 
-TEST(Hollow, AStoppedFrontIsNoticedByAllAndComesBack) {
+TEST(Hollow, StoppedRouterIsDetectedByAllAndRejoins) {
   Json told = measureFleet(smallShape(), shortPlan());
   CHECK(told["stops"]["allNoticed"].is_number());
   CHECK(told["stops"]["last"] < 6.0);
   CHECK(told["stops"]["backWhole"].is_number());
 }
 
-TEST(Hollow, WhatIsSentComesInAgain) {
+TEST(Hollow, BytesSentMatchBytesReceived) {
   Json told = measureFleet(smallShape(), shortPlan());
   double sent = 0, taken = 0;
   for (const auto& [role, cost] : told["roles"].items()) {
     sent += cost["bytesOut"].get<double>() * cost["members"].get<double>();
     taken += cost["bytesIn"].get<double>() * cost["members"].get<double>();
   }
-  DOUBLES_EQUAL(sent, taken, sent * 0.05);  // what is under way at both ends of the window
+  DOUBLES_EQUAL(sent, taken, sent * 0.05);  // messages in flight at both ends of the window
   CHECK(sent > 0);
 }
 
-TEST(Hollow, OneSeedGivesOneRunButForTimeAndMemory) {
+TEST(Hollow, SameSeedReproducesARunExceptForTimeAndMemory) {
   Json one = measureFleet(smallShape(), shortPlan()),
        other = measureFleet(smallShape(), shortPlan());
   CHECK(one["stops"] == other["stops"]);
@@ -79,7 +79,7 @@
   CHECK(one["roles"]["front"]["bytesOut"] == other["roles"]["front"]["bytesOut"]);
 }
 
-TEST(Hollow, EnginesAreProbedAndTheirPartsCopied) {
+TEST(Hollow, EnginesAreProbedAndTheirPrefixIndexIsReplicated) {
   HollowShape shape = smallShape();
   shape.engines = 12;
   shape.keptParts = 5;
@@ -91,7 +91,7 @@
   CHECK(told["roles"]["front"]["webCalls"] > 2.0);
 }
 
-TEST(Hollow, ACutRegionIsWholeAgainAfterwards) {
+TEST(Hollow, PartitionedRegionRejoinsAfterTheHeal) {
   HollowShape shape = smallShape();
   HollowPlan plan = shortPlan();
   plan.changes = plan.stops = 0;
@@ -102,7 +102,7 @@
   UNSIGNED_LONGS_EQUAL(1, told["cut"]["change"]["inForce"].size());
 }
 
-TEST(Hollow, FrontsWithoutFetchesSayItTwiceAndAreSilent) {
+TEST(Hollow, RoutersWithoutFetchesReportUsageTwiceThenStop) {
   HollowFleet fleet(smallShape());
   fleet.run(seconds(6));
   fleet.ask(4, firstChange(8, "1.1"));
@@ -111,11 +111,11 @@
   CHECK(fleet.counter("usage.silent") > 6 * 10);
 }
 
-TEST(Hollow, FrontsWithFetchesTellThemAndSilenceComesAfterTheLast) {
+TEST(Hollow, RoutersWithFetchesReportUsageAndStopAfterTheLast) {
   auto scenario = loadScenario(SOURCE_FOLDER "/scenarios/00-ordinary-day.txt");
   CHECK(scenario.ok());
   World world(*scenario, 3);
-  world.run();  // its last 14 s have no new streams
+  world.run();  // no new streams start in the last 14 s
   double begun = 0;
   for (const auto& process : world.processes()) {
     if (process->role != Role::kFront || !process->alive) continue;
@@ -129,18 +129,18 @@
   CHECK(begun > 0);
 }
 
-TEST(Hollow, APrimaryOfManyTenantsIsAsQuietAsOneOfFew) {
+TEST(Hollow, ManyTenantsDoNotLoadAnIdleLeader) {
   HollowShape shape = smallShape();
   HollowPlan plan = shortPlan();
   plan.changes = plan.stops = 0;
   shape.tenants = 2000;
   Json told = measureFleet(shape, plan);
-  CHECK(told["roles"]["primary"]["micros"] < 50'000.0);  // it was 250,000 and more
+  CHECK(told["roles"]["primary"]["micros"] < 50'000.0);  // a regression took 250,000 and more
 }
 
-TEST(Hollow, ALargeFleetWithoutTroubleKeepsItsVoters) {
-  // Word of the cores' heartbeats takes longest here. A view that changes acknowledges nothing
-  // meanwhile.
+TEST(Hollow, LargeFleetWithoutFaultsKeepsItsVoters) {
+  // Gossip of the cores' heartbeats takes longest in a large fleet. A late heartbeat must not cause
+  // a view change, since no change is acknowledged during one.
   HollowShape shape;
   shape.fronts = 81;
   shape.cores = 8;
--- a/tests/sim_disk_test.cc
+++ b/tests/sim_disk_test.cc
@@ -1,5 +1,5 @@
-// The simulated disk: what a power loss keeps, and the order of work of a process's disk task on
-// it.
+// Tests of the simulated disk: what a power loss keeps, and the order in which a process's disk
+// task works on it.
 #include "sim/sim_disk.h"
 
 #include <optional>
@@ -14,7 +14,7 @@
 
 constexpr std::uint64_t kSeeds = 300;
 
-/// What one file holds after a power loss, over many seeds; "-" where it is gone.
+/// The contents of one file after a power loss, over many seeds; "-" where it is missing.
 std::set<std::string> afterPowerLosses(const std::string& name,
                                        const std::function<void(SimDisk&)>& work) {
   std::set<std::string> found;
@@ -42,12 +42,12 @@
 
 TEST_GROUP(SimulatedDisk){};
 
-TEST(SimulatedDisk, WhatWasSyncedWithItsFolderStays) {
+TEST(SimulatedDisk, SyncedFileInASyncedDirectorySurvives) {
   Found found = afterPowerLosses("a", [](SimDisk& disk) { writeWhole(disk, "a", "whole"); });
   CHECK(found == Found{"whole"});
 }
 
-TEST(SimulatedDisk, ANameLastsOnlyWithItsFolder) {
+TEST(SimulatedDisk, NameIsDurableOnlyAfterADirectorySync) {
   Found found = afterPowerLosses("a", [](SimDisk& disk) {
     disk.truncate("a");
     disk.append("a", "whole");
@@ -56,7 +56,7 @@
   CHECK((found == Found{"-", "whole"}));
 }
 
-TEST(SimulatedDisk, UnsyncedBytesAreTornByPrefixAndByHole) {
+TEST(SimulatedDisk, UnsyncedWriteMayKeepAPrefixOrHaveAHole) {
   Found found = afterPowerLosses("a", [](SimDisk& disk) {
     writeWhole(disk, "a", "old");
     disk.append("a", "new");
@@ -66,7 +66,7 @@
   CHECK(found.contains(std::string("old\0ew", 6)));
 }
 
-TEST(SimulatedDisk, ARenameIsWholeAbsentOrLeavesBothNames) {
+TEST(SimulatedDisk, RenameIsCompleteAbsentOrLeavesBothNames) {
   auto work = [](SimDisk& disk) {
     writeWhole(disk, "a", "old");
     writeWhole(disk, "b", "new");
@@ -76,7 +76,7 @@
   CHECK((afterPowerLosses("b", work) == Found{"-", "new"}));
 }
 
-TEST(SimulatedDisk, ARemovedNameMayComeBackUntilTheFolderIsSynced) {
+TEST(SimulatedDisk, RemovedFileMayReappearUntilTheDirectoryIsSynced) {
   auto removed = [](SimDisk& disk) {
     writeWhole(disk, "a", "old");
     disk.remove("a");
@@ -89,15 +89,15 @@
   CHECK((afterPowerLosses("a", synced) == Found{"-"}));
 }
 
-TEST(SimulatedDisk, AProcessThatEndsTakesNothingWithIt) {
+TEST(SimulatedDisk, UnsyncedDataSurvivesTheEndOfAProcess) {
   SimDisk disk;
   disk.truncate("a");
   disk.append("a", "unsynced");
   STRCMP_EQUAL("unsynced", disk.files()["a"].c_str());
 }
 
-TEST(SimulatedDisk, ChangesOfTheFolderSurviveOneByOne) {
-  // Of two files that were made, either alone may be there.
+TEST(SimulatedDisk, DirectoryChangesSurviveIndependently) {
+  // Of two created files, either one alone may survive.
   Found pairs;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimDisk disk;
@@ -114,7 +114,7 @@
   CHECK((pairs == Found{"", "a", "b", "ab"}));
 }
 
-/// A disk task on its disk, with simulated time.
+/// A disk task with its disk and simulated time.
 struct TaskBench {
   EventQueue queue{MonotonicTime{}};
   Random random;
@@ -136,7 +136,7 @@
       if (answer.ticket.value == ticket && answer.synced) return true;
     return false;
   }
-  /// Time goes on for so long.
+  /// Advances time.
   void run(Duration time) {
     bool over = false;
     queue.after(time, [&over] { over = true; });
@@ -152,7 +152,7 @@
 
 TEST_GROUP(SimulatedDiskTask){};
 
-TEST(SimulatedDiskTask, WhatWasAnsweredSurvivesPowerLostAtAnyInstant) {
+TEST(SimulatedDiskTask, AcknowledgedWritesSurvivePowerLossAtAnyInstant) {
   bool sawOld = false, sawNewUnanswered = false;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     TaskBench bench(seed);
@@ -176,9 +176,9 @@
   CHECK(sawNewUnanswered);
 }
 
-TEST(SimulatedDiskTask, WhatALoaderReadIsNotTakenBackLater) {
-  // A process ends between the rename and the sync of the folder. The next one reads the file, acts
-  // on it, and then power is lost.
+TEST(SimulatedDiskTask, PowerLossDoesNotUndoWhatALoaderRead) {
+  // A process ends between the rename and the sync of the directory. The next process reads the
+  // file and acts on it, and then power is lost.
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     TaskBench bench(seed);
     bench.write(1, "voter.1", "promise");
@@ -190,7 +190,7 @@
   }
 }
 
-TEST(SimulatedDiskTask, CommandsAreCarriedOutInTheirOrder) {
+TEST(SimulatedDiskTask, CommandsRunInOrder) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     TaskBench bench(seed);
     for (std::uint64_t ticket = 1; ticket <= 5; ++ticket)
@@ -204,7 +204,7 @@
   }
 }
 
-TEST(SimulatedDiskTask, AFullDiskChangesNothingAndIsWaitedFor) {
+TEST(SimulatedDiskTask, FullDiskKeepsTheOldFileAndTheWriteIsRetried) {
   TaskBench bench(7);
   bench.write(1, "voter.1", "before");
   bench.run(milliseconds(20));
@@ -219,7 +219,7 @@
   STRCMP_EQUAL("after", bench.content("voter.1")->c_str());
 }
 
-TEST(SimulatedDiskTask, AHangEndsWithTheWorkDone) {
+TEST(SimulatedDiskTask, WriteCompletesAfterAHang) {
   TaskBench bench(7);
   bench.drive.mode = DiskMode::kHanging;
   bench.write(1, "voter.1", "content");
@@ -230,7 +230,7 @@
   CHECK(bench.answered(1));
 }
 
-TEST(SimulatedDiskTask, ASlowDiskTakesItsFactorLonger) {
+TEST(SimulatedDiskTask, SlowDiskTakesLongerByItsFactor) {
   TaskBench bench(7);
   bench.drive.mode = DiskMode::kSlow;
   bench.drive.slowness = 30;
@@ -241,7 +241,7 @@
   CHECK(bench.answered(1));
 }
 
-TEST(SimulatedDiskTask, AFailedSyncIsNoYesAndMayLeaveEither) {
+TEST(SimulatedDiskTask, FailedSyncIsNotAcknowledgedAndMayLeaveEitherContent) {
   Found found;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     TaskBench bench(seed);
@@ -259,7 +259,7 @@
   CHECK((found == Found{"before", "after"}));
 }
 
-TEST(SimulatedDiskTask, AFrozenProcessBeginsNoStep) {
+TEST(SimulatedDiskTask, FrozenProcessBeginsNoStep) {
   TaskBench bench(7);
   bench.frozen = true;
   bench.write(1, "voter.1", "content");
