--- a/src/sim/engine_model.h
+++ b/src/sim/engine_model.h
@@ -81,7 +81,7 @@
   /// Caches a block that came from a peer or the store.
   void collected(const RealPart& part);
   /// Uses the cached prefix and recomputes the rest. Returns the time it takes and appends the
-  /// newly cached blocks to `made`.
+  /// newly cached blocks to the second argument.
   Duration prefill(const RunAsk& ask, std::vector<RealPart>& made);
   /// The text of one piece of the answer.
   std::string pieceText(const RunAsk& ask, Piece piece) const;
--- a/src/sim/hollow_fleet.h
+++ b/src/sim/hollow_fleet.h
@@ -78,7 +78,7 @@
   /// The indices of the leader's backups.
   std::vector<std::size_t> backups() const;
 
-  /// Sends an operator's change request to a router; see `answered` for the reply.
+  /// Sends an operator's change request to a router.
   void ask(std::size_t front, Json body);
   /// The version of the last requested change once it was acknowledged.
   std::optional<SectionVersion> answered() const { return answered_; }
--- a/src/sim/sim_cluster.cc
+++ b/src/sim/sim_cluster.cc
@@ -10,14 +10,13 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kMostHeld = 20000;     // maximum number of events queued for a frozen process
-constexpr Duration kToItself = Duration{1};  // latency of a message within one process
+constexpr std::size_t kMostHeld = 20000;                 // events
+constexpr Duration kToItself = Duration{1};              // latency of a message within one process
 constexpr Duration kLookWhenHanging = milliseconds(20);  // polling interval of stalled bytes
 constexpr Duration kTickPeriod = milliseconds(50);
 constexpr Duration kOneMoment = milliseconds(10);  // broadcasts within this time are one burst
 constexpr Duration kLookWhenFrozen = milliseconds(20);
-constexpr Duration kLookForDisk =
-    milliseconds(200);  // polling interval of a start that waits for its disk
+constexpr Duration kLookForDisk = milliseconds(200);  // how often a start retries
 constexpr Duration kLongestBacklog = seconds(5);  // of a slowed process; later messages are lost
 constexpr std::uint64_t kFleetMark = 1;
 
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -10,9 +10,8 @@
 namespace {
 
 constexpr Duration kTick = milliseconds(50);
-const Address kListAddress{"10.0.3.1:80"};  // of the platform
-constexpr Duration kAfterRun =
-    seconds(14);  // until the last deadlines have passed and the fleet has settled
+const Address kListAddress{"10.0.3.1:80"};   // of the platform
+constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and the fleet to settle
 
 std::string zoneOf(int number) { return "district" + std::to_string(number % 4 + 1); }
 
