--- a/src/place/place.cc
+++ b/src/place/place.cc
@@ -10,20 +10,20 @@
 namespace peppergate {
 namespace {
 
-/// The file's things as variables: each holds the number of its zone.
+/// The solver's input: one integer variable per engine and tenant, whose value is a zone's index.
 struct Model {
   z3::context context;
   z3::solver solver{context};
   std::vector<std::string> zones;
   std::map<std::string, z3::expr> things;
-  std::map<std::string, std::int64_t> weight;  // an engine's places, a tenant's usage
+  std::map<std::string, std::int64_t> weight;  // an engine's capacity or a tenant's usage
   std::vector<std::string> engines, tenants;
 
   z3::expr number(std::int64_t value) { return context.int_val(static_cast<std::int64_t>(value)); }
   z3::expr in(const std::string& thing, std::size_t zone) {
     return things.at(thing) == number(static_cast<std::int64_t>(zone));
   }
-  /// Every rule is tracked by a name, so that a conflict can name it.
+  /// Adds a constraint that is tracked by its name, so that an unsat core can report it.
   void rule(const std::string& name, const z3::expr& what) {
     solver.add(what, context.bool_const(name.c_str()));
   }
@@ -39,7 +39,7 @@
   for (const auto& entry : file.value(kind, Json::array())) {
     std::string id = entry.at("id");
     if (model.things.contains(id))
-      return wrong(std::string("[") + kind + "]", "'" + id + "' twice");
+      return wrong(std::string("[") + kind + "]", "'" + id + "' is declared twice");
     z3::expr variable = model.context.int_const(("thing " + id).c_str());
     model.things.emplace(id, variable);
     model.weight[id] = entry.value(weight, std::int64_t{1});
@@ -49,7 +49,7 @@
   return absl::OkStatus();
 }
 
-/// The places of engines in a zone have to carry the usage of its tenants.
+/// The capacity of a zone's engines has to cover the usage of its tenants.
 void addCapacity(Model& model) {
   for (std::size_t zone = 0; zone < model.zones.size(); ++zone) {
     z3::expr places = model.number(0), usage = model.number(0);
@@ -69,7 +69,7 @@
   std::vector<std::string> things = entry.value("of", std::vector<std::string>{});
   for (const auto& thing : things)
     if (!model.things.contains(thing))
-      return wrong(field + "[of]", "nothing named '" + thing + "'");
+      return wrong(field + "[of]", "no engine or tenant is named '" + thing + "'");
   std::size_t zone = 0;
   if (entry.contains("district")) {
     auto found = std::ranges::find(model.zones, entry["district"].get<std::string>());
@@ -77,7 +77,8 @@
     zone = static_cast<std::size_t>(found - model.zones.begin());
   }
   bool needsDistrict = kind == "in" || kind == "not-in" || kind == "at-most" || kind == "at-least";
-  if (needsDistrict && !entry.contains("district")) return wrong(field + "[district]", "is needed");
+  if (needsDistrict && !entry.contains("district"))
+    return wrong(field + "[district]", "is required for this kind of constraint");
   z3::expr all = model.context.bool_val(true);
   z3::expr count = model.number(0);
   for (const auto& thing : things)
@@ -116,12 +117,13 @@
   std::set<std::string> names;
   for (const auto& entry : file.value("constraints", Json::array())) {
     if (!names.insert(entry["name"].get<std::string>()).second)
-      return wrong("[constraints][" + std::to_string(index) + "][name]", "stands twice");
+      return wrong("[constraints][" + std::to_string(index) + "][name]",
+                   "is used by another constraint");
     if (auto status = addConstraint(model, entry, index++); !status.ok()) return status;
   }
   PlacementSolution placement;
   z3::check_result result = model.solver.check();
-  if (result == z3::unknown) return absl::DeadlineExceededError("the solver found no answer");
+  if (result == z3::unknown) return absl::DeadlineExceededError("the solver returned no result");
   if (result == z3::unsat) {
     z3::expr_vector core = model.solver.unsat_core();
     for (unsigned one = 0; one < core.size(); ++one) {
--- a/src/place/place.h
+++ b/src/place/place.h
@@ -1,5 +1,5 @@
 #pragma once
-// Solves placements of engines and tenants in zones from constraints in a file.
+// Assigns engines and tenants to zones under the constraints of a file, with an SMT solver.
 #include <absl/status/statusor.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace peppergate {
 
-/// Where everything goes, or the names of the constraints that can't all be kept.
+/// The zone of each engine and tenant, or the names of constraints that can't hold together.
 struct PlacementSolution {
   bool possible = false;
   std::map<std::string, std::string> engines;  // engine to zone
@@ -17,7 +17,7 @@
   std::vector<std::string> conflict;
 };
 
-/// Reads a file's text and solves it; a wrong file is an error that names the field.
+/// Parses a file's text and solves it; an invalid file is an error that names the field.
 /// Example: `solvePlacement(R"({"zones":[...],"engines":[...],"constraints":[...]})")`.
 absl::StatusOr<PlacementSolution> solvePlacement(std::string_view text);
 
--- a/src/standin/engine_process.cc
+++ b/src/standin/engine_process.cc
@@ -149,7 +149,7 @@
 }
 
 void EngineProcess::collected(const std::shared_ptr<Run>& run) {
-  // The parts' bytes are not sent; the time that they take on this link is.
+  // The bytes of blocks are not transferred; only their transfer time on this link is simulated.
   double rate = std::max(0.001, run->ask.rate);
   Duration collecting{};
   if (run->megabytes > 0) {
@@ -179,7 +179,7 @@
 }
 
 void EngineProcess::generate(const std::shared_ptr<Run>& run) {
-  if (run->request->gone()) {  // whoever asked went away: it ends here
+  if (run->request->gone()) {  // the client has disconnected
     model_.end(bootNow());
     return;
   }
--- a/src/standin/engine_process.h
+++ b/src/standin/engine_process.h
@@ -1,5 +1,5 @@
 #pragma once
-// The engine, desk and store stand-ins as processes round the engine model.
+// Serves the engine model over HTTP as a process; stands in for engines, unary engines and stores.
 #include <memory>
 
 #include "io/web_client.h"
@@ -13,11 +13,11 @@
   std::string id = "engine";
   WeightsVersion weights{1};
   EngineOptions options;
-  double link = 60;  // megabytes a second
+  double link = 60;  // megabytes per second
   double partBytesPerCharacter = 200;
 };
 
-/// Example: `EngineProcess engine(loop, setup); engine.open(); loop.run();`
+/// A simulated engine that listens for HTTP requests once `open` was called.
 class EngineProcess {
  public:
   EngineProcess(Loop& loop, EngineProcessSetup setup);
@@ -27,7 +27,7 @@
   struct Run {
     std::shared_ptr<WebRequest> request;
     RunAsk ask;
-    std::size_t waiting = 0;  // parts still to come from the source
+    std::size_t waiting = 0;  // requests to the source that are still unanswered
     double megabytes = 0;
     MonotonicTime began;
     Piece next;
@@ -46,8 +46,8 @@
   EngineModel model_;
   WebClient client_;
   WebServer server_;
-  double fetching_ = 0;  // rates now on this engine's link
-  double factor_ = 1;    // a slowed link
+  double fetching_ = 0;  // sum of the rates of fetches that use this engine's link now
+  double factor_ = 1;    // share of the link that is available; below 1 for an injected slow link
   bool reportsOff_ = false;
 };
 
--- a/src/standin/platform_process.h
+++ b/src/standin/platform_process.h
@@ -1,12 +1,12 @@
 #pragma once
-// The platform's stand-in: keeps the engine list and tells engines what it marked.
+// Simulated platform: serves the engine list and notifies engines of changes to their entries.
 #include "io/web_client.h"
 #include "io/web_server.h"
 #include "wire/json_fields.h"
 
 namespace peppergate {
 
-/// Example: `PlatformProcess platform(loop, listen, Json::parse(list)); platform.open();`
+/// Serves the given engine list over HTTP once `open` was called.
 class PlatformProcess {
  public:
   PlatformProcess(Loop& loop, Address listen, Json list);
@@ -18,7 +18,7 @@
 
   Address listen_;
   Json list_;
-  Json away_ = Json::object();  // entries that are off the list for now
+  Json away_ = Json::object();  // entries that are removed from the list for now, by engine id
   WebClient client_;
   WebServer server_;
 };
--- a/src/standin/requester_process.cc
+++ b/src/standin/requester_process.cc
@@ -15,13 +15,13 @@
   std::shared_ptr<Ask> ask;
   evhttp_connection* connection = nullptr;
   EventReader events;
-  std::string end;  // "end" or "error" once it came
+  std::string end;  // type of the final event, "end" or "error"; empty before
   std::string error;
   std::string body;
   std::string requestId;
 };
 
-/// The C callbacks, with leave to see the requester's insides.
+/// The libevent callbacks; a friend so that they can reach the requester's private members.
 struct RequesterBacks {
   using Stream = RequesterProcess::Stream;
   static Headers headersOf(evhttp_request* request) {
@@ -202,7 +202,7 @@
       toldNotRun_.push_back(stream->requestId);
     return finish("declined." + kind);
   }
-  // Cut: a resumable stream goes on once, at whichever front is picked.
+  // Interrupted: a resumable stream is resumed once, at a randomly chosen router.
   bool again = ask.resumable && !ask.resumed && ask.next > 0 && stream->error != "deadline" &&
                stream->error != "key-withdrawn";
   if (!again) return finish(stream->error.empty() ? "lost" : "cut." + stream->error);
--- a/src/standin/requester_process.h
+++ b/src/standin/requester_process.h
@@ -1,5 +1,5 @@
 #pragma once
-// The requesters' stand-in: a deployment's day of streams against real fronts, judged as it goes.
+// Load generator: sends a deployment's mix of requests to real routers and checks every answer.
 #include <map>
 #include <set>
 
@@ -17,14 +17,14 @@
   std::vector<Address> fronts;
   std::uint64_t seed = 1;
   std::uint64_t documents = 4;
-  std::set<std::string> withdrawn;  // tenants whose key is not used
+  std::set<std::string> withdrawn;  // tenants whose key was withdrawn
 };
 
-/// Example: `RequesterProcess requester(loop, setup); requester.start(done);`
+/// Sends requests at a constant rate and reports outcomes, latencies and violated guarantees.
 class RequesterProcess {
  public:
   RequesterProcess(Loop& loop, RequesterSetup setup);
-  /// Sends the streams; calls with the verdict after the last answer. Example: see the class.
+  /// Starts to send; calls `done` with the report after the last answer.
   void start(std::function<void(const Json&)> done);
 
  private:
@@ -36,7 +36,7 @@
     std::uint64_t pieces = 8, next = 0, weights = 0;
     MonotonicTime asked, deadline, first = kForever;
     std::string body;
-    std::string run;  // the engine's mark of the run that its pieces came from
+    std::string run;  // id of the engine's run that produced the pieces
   };
   struct Stream;
   friend struct RequesterBacks;
--- a/src/wire/body_bounds.h
+++ b/src/wire/body_bounds.h
@@ -1,6 +1,7 @@
 #pragma once
-// Walks an Avro body by a message's own fields before the library reads it. The library allocates
-// what a body declares; here every declared size is compared with the bytes that are there.
+// Validates an Avro body against the fields of its message type before the Avro library decodes it.
+// The library allocates whatever size a body declares, so every declared size is checked here
+// against the bytes that remain.
 #include <cstdint>
 #include <span>
 #include <string>
@@ -10,19 +11,19 @@
 
 namespace peppergate {
 
-/// A position in a body. A read that fails leaves it anywhere; nothing is read after that.
+/// Reads a body from front to back. After a failed read its position is unspecified.
 class BodyCursor {
  public:
   explicit BodyCursor(std::span<const char> body) : rest_(body) {}
   bool atEnd() const { return rest_.empty(); }
   std::size_t left() const { return rest_.size(); }
-  /// Passes over so many bytes; false if there are fewer.
+  /// Skips `count` bytes; false if fewer remain.
   bool skip(std::uint64_t count) {
     if (count > rest_.size()) return false;
     rest_ = rest_.subspan(static_cast<std::size_t>(count));
     return true;
   }
-  /// Reads Avro's variable-length number; false if it is cut or longer than 64 bits.
+  /// Reads an Avro variable-length integer; false if it is truncated or longer than 64 bits.
   bool readNumber(std::int64_t& number) {
     std::uint64_t bits = 0;
     for (int shift = 0; shift < 64 && !rest_.empty(); shift += 7) {
@@ -53,13 +54,13 @@
   }
 };
 
-/// Passes over an array's blocks. Each element takes a byte at least, so a count above the bytes
-/// that are left is false without a look at the elements.
+/// Skips an array, which is coded in blocks. Each element takes at least one byte, so a count that
+/// exceeds the remaining bytes is rejected without reading the elements.
 template <class Element>
 bool skipArray(BodyCursor& cursor) {
   while (true) {
     std::int64_t count = 0;
-    if (!cursor.readNumber(count) || count < 0) return false;  // our writer knows no other blocks
+    if (!cursor.readNumber(count) || count < 0) return false;  // our writer emits no sized blocks
     if (count == 0) return true;
     if (static_cast<std::uint64_t>(count) > cursor.left()) return false;
     for (; count > 0; --count)
@@ -67,7 +68,7 @@
   }
 }
 
-/// Passes over one value of a type, as `putValue` writes it; false if it goes beyond the body.
+/// Skips one value in the coding of `putValue`; false if it extends beyond the body.
 template <class T>
 bool skipValue(BodyCursor& cursor) {
   if constexpr (kIsTagged<T>) {
@@ -93,7 +94,7 @@
   }
 }
 
-/// Whether a body is exactly one value of a type, with nothing behind it.
+/// Whether a body holds exactly one value of a type and no further bytes.
 template <class T>
 bool bodyFits(std::span<const char> body) {
   BodyCursor cursor(body);
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -21,9 +21,9 @@
     "PictureNote",  "IndexPut",     "IndexAsk",        "UsageNote",      "HolderAsk",
     "HolderAnswer", "CaretakerAsk", "CaretakerAnswer", "CaretakerNote",  "PartNews",
     "RosterNews",   "RosterAsk",    "EngineTrouble",   "EngineUse",      "PartAsk"};
-static_assert(!kKindNames.back().empty(), "a kind of message without a name");
+static_assert(!kKindNames.back().empty(), "every message kind needs a name");
 
-// Avro schemas are made from the same `visit` functions that write and read the values.
+// Builds Avro schemas from the same `visit` functions that write and read the values.
 struct SchemaWriter {
   Json& fields;
   int& counter;
@@ -291,7 +291,7 @@
 absl::StatusOr<Message> decodeBody(std::uint16_t kind, std::span<const char> body) {
   if (kind >= kKinds)
     return absl::InvalidArgumentError(std::string(faultName(FrameFault::kUnknownKind)));
-  // The library allocates whatever size a body declares; so what doesn't fit isn't given to it.
+  // The library allocates whatever size a body declares, so bodies are validated first.
   if (!fitsKind(kind, body, std::make_index_sequence<kKinds>{}))
     return absl::DataLossError(std::string(faultName(FrameFault::kBadBody)));
   AvroValue value(kind);
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,5 +1,5 @@
 #pragma once
-// Frames between own processes: a fixed head, then one Avro-coded message.
+// Frames exchanged by members of a fleet: a fixed-size head, then one Avro-encoded message.
 #include <absl/status/statusor.h>
 
 #include <span>
@@ -16,7 +16,7 @@
 inline constexpr std::size_t kLargestFrame = 24U << 20;
 
 inline constexpr std::size_t kMessageKinds = std::variant_size_v<Message>;
-/// The name of a kind of message, for logs and measurements: `messageKindName(0) == "Shuffle"`.
+/// The name of a message kind, for logs and metrics: `messageKindName(0) == "Shuffle"`.
 std::string_view messageKindName(std::size_t kind);
 
 enum class FrameFault : std::uint8_t {
@@ -34,22 +34,22 @@
   FrameFault fault = FrameFault::kNone;
   std::uint16_t kind = 0;
   std::uint32_t length = 0;
-  std::uint32_t sum = 0;  // of the body; only what passes it is given to the Avro reader
+  std::uint32_t sum = 0;  // of the body; only a body that matches it is decoded
 };
 
-/// The fleet's mark in each frame. Example: `fleetMark("hutline") != fleetMark("fjordsyn")`.
+/// A hash of the fleet's name. Each frame carries it, so that frames of other fleets are rejected.
 std::uint64_t fleetMark(std::string_view fleet);
-/// Codes a message with its head. Example: `encodeFrame(mark, Message{StateRequest{}})`.
+/// Encodes a message as a frame.
 std::string encodeFrame(std::uint64_t mark, const Message& message);
-/// Reads the head; a wrong one says why. Example: `readFrameHead(mark, bytes).fault`.
+/// Decodes a frame's head; its `fault` says why an invalid one is rejected.
 FrameHead readFrameHead(std::uint64_t mark, std::span<const char> bytes);
-/// Whether a body is the one that was sent. Example: `bodyIsWhole(head, body)`.
+/// Whether a body has the length and the checksum that its head declares.
 bool bodyIsWhole(const FrameHead& head, std::span<const char> body);
-/// Decodes a body of the given kind. Example: `decodeBody(head.kind, body)`.
+/// Decodes a body of the given message kind.
 absl::StatusOr<Message> decodeBody(std::uint16_t kind, std::span<const char> body);
-/// The Avro schema of a kind, for docs and tests. Example: `schemaText(1)`.
+/// The Avro schema of a message kind as JSON, for documentation and tests.
 std::string schemaText(std::uint16_t kind);
-/// Names a fault. Example: `faultName(FrameFault::kOtherFleet) == "other fleet"`.
+/// The text of a fault, for logs and counters. Example: "other fleet".
 std::string_view faultName(FrameFault fault);
 
 }  // namespace peppergate
--- a/src/wire/json_fields.h
+++ b/src/wire/json_fields.h
@@ -1,5 +1,5 @@
 #pragma once
-// Turns any struct with a `visit` function into JSON and back; used for files and status pages.
+// Converts any struct with a `visit` function to JSON and back; used for files and status pages.
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
@@ -43,7 +43,7 @@
   }
 };
 
-/// Writes a value as JSON. Example: `toJson(SectionVersion{{1},{2}})["epoch"] == 1`.
+/// Converts a value to JSON: `toJson(SectionVersion{{1},{2}})["epoch"] == 1`.
 template <class T>
 Json toJson(const T& value) {
   if constexpr (kIsTagged<T>) return value.value;
@@ -63,7 +63,7 @@
   }
 }
 
-/// Reads a value back; throws nlohmann's typed exceptions when the shape is wrong.
+/// Converts JSON to a value; throws nlohmann's typed exceptions on a missing field or wrong type.
 /// Example: `fromJson(Json::parse("{\"epoch\":1,\"sequence\":2}"), version);`
 template <class T>
 void fromJson(const Json& json, T& value) {
--- a/tests/client_departure_test.cc
+++ b/tests/client_departure_test.cc
@@ -1,4 +1,5 @@
-// Clients that leave at each stage of their request: no engine is sent it any more, none works on.
+// Clients that disconnect at each stage of their request: it is sent to no further engine, and an
+// engine that already works on it is stopped.
 #include <algorithm>
 #include <string>
 
@@ -8,21 +9,21 @@
 
 namespace {
 
-/// An engine's word that it did not run the request.
+/// A response in which an engine states that it did not run the request.
 std::string declineFor(const Asked& asked) {
   return "HTTP/1.1 503 Busy\r\nX-Attempt-Id: " + asked.id +
          "\r\nX-Not-Delivered: full\r\nContent-Length: 0\r\n\r\n";
 }
 
-/// Where a request is when its client leaves.
+/// The stage of a request at which its client disconnects.
 enum class Stage : std::uint8_t {
-  kUnread,         // in the router's socket, with the client's FIN behind it
-  kConnecting,     // its connection to an engine is coming up
-  kAtEngine,       // sent, without an answer
-  kDeclined,       // the engine's refusal and the FIN come in one turn of the loop
-  kBroken,         // its engine's reset and the FIN come in one turn of the loop
-  kStreaming,      // its client has the first events, and its engine says nothing for now
-  kReadingPaused,  // sent; so much is pipelined behind it that the router reads no further
+  kUnread,         // still in the router's receive buffer, followed by the client's FIN
+  kConnecting,     // the connection to an engine is being established
+  kAtEngine,       // sent to an engine, without a response yet
+  kDeclined,       // the engine's rejection and the FIN arrive in one loop iteration
+  kBroken,         // the engine's reset and the FIN arrive in one loop iteration
+  kStreaming,      // the client has the first events, and the engine is silent
+  kReadingPaused,  // sent; the client has pipelined so much that the router paused reading
 };
 struct StageRow {
   Stage stage;
@@ -32,8 +33,8 @@
                              StageRow{Stage::kConnecting, "connecting"},
                              StageRow{Stage::kAtEngine, "at the engine"},
                              StageRow{Stage::kDeclined, "declined"},
-                             StageRow{Stage::kBroken, "broken off"},
-                             StageRow{Stage::kStreaming, "under way"},
+                             StageRow{Stage::kBroken, "connection reset"},
+                             StageRow{Stage::kStreaming, "streaming"},
                              StageRow{Stage::kReadingPaused, "reading paused"}};
 
 }  // namespace
@@ -41,7 +42,7 @@
 TEST_GROUP(ClientDepartures) {
   std::string running, broken;
 
-  /// All that is broken is told at once, at the end of a test.
+  /// Records a failure; all failures are reported together at the end of the test.
   void check(bool good, const char* rule) {
     if (!good) broken += "\n" + running + ": " + rule;
   }
@@ -66,14 +67,16 @@
     if (stage == Stage::kUnread) {
       client->leave(false);
       path.loop.turn();
-      check(sentAnywhere(path, asked) == 0, "a request whose client had left was sent");
+      check(sentAnywhere(path, asked) == 0,
+            "a request was sent to an engine after its client had disconnected");
       return;
     }
     if (stage == Stage::kConnecting) {
       while (path.live() == 0) turnOnce(path);
       client->leave(false);
       path.loop.turn();
-      check(sentAnywhere(path, asked) == 0, "a request was written after its client had left");
+      check(sentAnywhere(path, asked) == 0,
+            "a request was written to an engine after its client had disconnected");
       return;
     }
     EngineRequest request = path.arrived(asked);
@@ -85,19 +88,22 @@
     if (stage == Stage::kStreaming) {
       std::string answer = answerFor(asked, request.engine, Framing::kChunked);
       request.peer->send(std::string_view(answer).substr(0, answer.size() - 10));
-      check(path.loop.until([&] { return client->has("200 OK"); }), "no first events");
+      check(path.loop.until([&] { return client->has("200 OK"); }),
+            "the client received no events");
     }
     client->leave(false);
     if (stage == Stage::kDeclined) request.peer->send(declineFor(asked));
     if (stage == Stage::kBroken) request.peer->leave(true);
     path.loop.turn();
-    check(sentAnywhere(path, asked) == 1, "a request was sent on after its client had left");
-    if (stage == Stage::kDeclined || stage == Stage::kBroken) return;  // it works no more
-    check(request.peer->ended || request.peer->failed, "an engine works on for a client that left");
+    check(sentAnywhere(path, asked) == 1,
+          "a request was sent to another engine after its client had disconnected");
+    if (stage == Stage::kDeclined || stage == Stage::kBroken) return;  // the engine is already done
+    check(request.peer->ended || request.peer->failed,
+          "an engine continues for a client that has disconnected");
   }
 };
 
-TEST(ClientDepartures, EndAllWorkForTheirRequests) {
+TEST(ClientDepartures, StopAllWorkOnTheirRequests) {
   std::uint64_t number = 0;
   for (std::string_view host : kHosts)
     for (const auto& [stage, name] : kStages) {
@@ -108,7 +114,7 @@
       HttpPath path;
       leaveAt(path, stage, asked);
       path.loop.turn();
-      check(path.live() == 0, "a request outlives its client");
+      check(path.live() == 0, "a request remains after its client has disconnected");
     }
   if (!broken.empty()) FAIL(broken.c_str());
 }
--- a/tests/http_path.cc
+++ b/tests/http_path.cc
@@ -14,7 +14,7 @@
   return low;
 }
 
-/// Reads "Name: value" lines of a head without its first line.
+/// Parses the "Name: value" lines of a head, which follow its first line.
 std::map<std::string, std::string> headersOf(std::string_view head) {
   std::map<std::string, std::string> headers;
   for (auto start = head.find("\r\n"); start < head.size();) {
@@ -35,7 +35,7 @@
   return number;
 }
 
-/// Takes chunks apart; false: the last one is missing.
+/// Decodes a chunked body; false if the last chunk is missing.
 bool readChunksOf(std::string_view bytes, std::string& body, std::size_t& used) {
   std::size_t at = 0;
   while (true) {
@@ -118,7 +118,8 @@
   return text + "0\r\n\r\n";
 }
 
-/// Gives the engines in turn from the preferred one on, each with its listener's address.
+/// Places requests on the engines in order, starting at the preferred one; an engine's address is
+/// that of its listener.
 struct HttpPath::EnginePlacer final : Placer {
   explicit EnginePlacer(HttpPath& path) : path(path) {}
   std::variant<Placed, PlaceRefusal> place(const PlacementAsk& ask, const FleetConfig&,
@@ -203,7 +204,7 @@
       if (request.id == asked.id) found = request;
     return found.peer != nullptr;
   });
-  CHECK_TEXT(came, "the request reached no engine");
+  CHECK_TEXT(came, "the request did not reach an engine");
   return found;
 }
 
@@ -211,7 +212,7 @@
   for (const auto& request : waiting()) {
     if (request.peer == but) continue;
     auto asked = known.find(request.id);
-    CHECK_TEXT(asked != known.end(), "an engine got a request that nobody sent");
+    CHECK_TEXT(asked != known.end(), "an engine received a request that no client sent");
     if (asked == known.end()) return;
     answered(request);
     request.peer->send(
@@ -248,8 +249,9 @@
   taken_.clear();
   marked_.clear();
   preferred = 0;
-  CHECK_TEXT(loop.until([&] { return idle() == 0 && live() == 0; }), "something stays under way");
-  for (auto& engine : engines) engine->peers.clear();  // those that came meanwhile
+  CHECK_TEXT(loop.until([&] { return idle() == 0 && live() == 0; }),
+             "a request or an idle connection remains");
+  for (auto& engine : engines) engine->peers.clear();  // connections accepted in the meantime
 }
 
 std::uint16_t HttpPath::portOf(std::size_t engine) const {
--- a/tests/http_path.h
+++ b/tests/http_path.h
@@ -1,6 +1,6 @@
 #pragma once
-// A router's whole path for requests on real loopback sockets: the listener, the requests' rules,
-// the client, and three engines whose every byte a test decides. Time is the test's own.
+// A router's request path on real loopback sockets: the listener, the request state machine and the
+// client, with three engines whose every byte a test decides. The test also advances the clock.
 #include <array>
 #include <map>
 #include <set>
@@ -12,38 +12,38 @@
 
 namespace peppergate {
 
-/// How an engine frames its answer's body.
+/// How an engine delimits the body of its response.
 enum class Framing : std::uint8_t { kLength, kChunked, kUntilClose };
 
-/// One request of a client: who asks, on which kind of route.
+/// A client's request: its id, and the host that selects the kind of route.
 struct Asked {
   std::string id;
-  std::string host = "unsafe";  // of `kHosts`
+  std::string host = "unsafe";  // one of `kHosts`
   std::string body = "question";
   bool repeatable() const { return host == "safe" || host == "resumed"; }
   bool stream() const { return host == "plain" || host == "resumed"; }
   std::string text() const;
 };
 
-/// An answer as an independent reader finds it in the bytes that a client got.
+/// A response as an independent parser reads it from a client's received bytes.
 struct FoundAnswer {
   int status = 0;
-  std::map<std::string, std::string> headers;  // names in lower case
+  std::map<std::string, std::string> headers;  // names are in lower case
   std::string body;
   bool headComplete = false, complete = false;
-  std::size_t behind = 0;  // bytes behind a complete answer
+  std::size_t behind = 0;  // bytes after a complete response
   bool ofEngine() const { return headers.contains("x-postmark"); }
 };
-/// `ended`: the connection was closed; `failed`: it was reset.
+/// Parses a response. `ended`: the connection was closed; `failed`: it was reset.
 FoundAnswer findAnswer(std::string_view bytes, bool ended, bool failed);
 
-/// The body that engine `engine` makes for a request; a stream's is the same at every engine.
+/// The body with which an engine answers a request; for a stream, every engine's is the same.
 std::string bodyFor(const Asked& asked, std::size_t engine);
-/// A whole, proper answer of an engine. `after`: a stream goes on behind this event.
+/// A complete and valid response of an engine. `after`: a stream resumes after this event.
 std::string answerFor(const Asked& asked, std::size_t engine, Framing framing,
                       std::uint64_t after = 0);
 
-/// A request as an engine has it.
+/// A request as an engine received it.
 struct EngineRequest {
   std::size_t engine = 0;
   TestPeer* peer = nullptr;
@@ -51,7 +51,7 @@
   std::uint64_t resumeAfter = 0;
 };
 
-/// Example: `HttpPath path; auto client = path.send(asked); path.serve(); path.finish(*client);`
+/// Runs one router with its engines; tests send requests, answer them and inspect the bytes.
 class HttpPath {
  public:
   static constexpr std::size_t kEngines = 3;
@@ -60,34 +60,35 @@
   TestLoop loop;
   std::array<std::unique_ptr<TestListener>, kEngines> engines;
 
-  /// Connects and sends a whole request. Example: see the class.
+  /// Connects a new client and sends a complete request.
   std::unique_ptr<TestPeer> send(const Asked& asked);
-  /// Runs until an engine has this request whole. Example: `auto request = path.arrived(asked);`
+  /// Runs until an engine has received all of this request.
   EngineRequest arrived(const Asked& asked);
-  /// Whole requests that no engine has answered yet.
+  /// Complete requests at engines that were not answered yet.
   std::vector<EngineRequest> waiting();
-  /// Answers whatever waits at any engine properly, but for one connection.
+  /// Sends valid responses to all pending requests, except those on one connection.
   void serve(const std::map<std::string, Asked>& known, const TestPeer* but = nullptr);
-  /// Notes that a request was answered by the test itself.
+  /// Marks a request as answered by the test itself.
   void answered(const EngineRequest& request);
-  /// Lets time pass for the requests' rules, without waiting.
+  /// Advances the clock of the request state machine without waiting.
   void pass(Duration time);
-  /// Connections that got a byte since `mark`.
+  /// The number of engine connections that received a byte since the last call of `mark`.
   std::size_t reached() const;
-  /// From now on `reached` counts anew.
+  /// Restarts the count of `reached`.
   void mark();
-  /// Runs until the client has its answer or its connection is over; other engines answer.
+  /// Runs until the client has a complete response or its connection ended. Meanwhile all engines
+  /// answer, except on one connection.
   bool finish(const TestPeer& client, const std::map<std::string, Asked>& known,
               const TestPeer* but = nullptr);
-  /// Ends all connections to engines and forgets them, so that the next exchange starts afresh.
+  /// Closes all connections to engines, so that the next exchange starts with new ones.
   void clear();
   std::uint16_t portOf(std::size_t engine) const;
-  /// What clients may send from now on.
+  /// Sets the limits of client requests from now on.
   void limits(const RequestLimits& limits) { endpoints_->listener().limits(limits); }
   std::size_t idle() const { return endpoints_->client().kept(); }
   std::size_t live() const { return requests_.live(); }
   const Address& address() const { return address_; }
-  /// The engine that the next attempts prefer. Example: 0.
+  /// The index of the engine that the next attempts try first.
   std::size_t preferred = 0;
 
  private:
@@ -105,7 +106,8 @@
   std::unique_ptr<DialectEndpoints> endpoints_;
   Address address_ = freeAddress();
   Duration skew_;
-  std::map<const TestPeer*, std::size_t> taken_, marked_;  // bytes of whole requests; at the mark
+  std::map<const TestPeer*, std::size_t> taken_,
+      marked_;  // bytes of answered requests; bytes received at the last `mark`
 };
 
 }  // namespace peppergate
--- a/tests/http_testing.h
+++ b/tests/http_testing.h
@@ -1,5 +1,5 @@
 #pragma once
-// Loopback sockets on a loop, and a dialect of the tests' own, for the HTTP listener and client.
+// Loopback sockets on an event loop and a test dialect, for tests of the HTTP listener and client.
 #include <event2/event.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -18,7 +18,8 @@
 
 namespace peppergate {
 
-/// Its names: X-Test-Id, X-Not-Run; events with lines "id: N" and "version: N".
+/// A dialect with the headers X-Test-Id and X-Not-Run, and events with lines "id: N" and
+/// "version: N".
 class TestDialect final : public Dialect {
  public:
   static std::string headerOf(const std::vector<std::pair<std::string, std::string>>& headers,
@@ -82,12 +83,12 @@
   std::string_view readyPath() const override { return "/ready"; }
 };
 
-/// A loop that runs until something is so; what never becomes so fails its test.
+/// An event loop that runs until a condition holds, with a time limit.
 class TestLoop {
  public:
   Loop& loop() { return loop_; }
   event_base* base() { return loop_.base(); }
-  /// Example: `CHECK(loop.until([&] { return peer.ended(); }));`
+  /// Runs until the condition holds; false if it does not within 10 seconds.
   template <class Condition>
   bool until(Condition condition) {
     MonotonicTime last = bootNow() + seconds(10);
@@ -99,11 +100,12 @@
     }
     return true;
   }
-  /// Deals with all that is due now and waits for nothing. Example: `loop.turn();`
+  /// Handles all events that are pending now, without waiting for more.
   void turn() {
     for (int round = 0; round < 5; ++round) event_base_loop(base(), EVLOOP_NONBLOCK);
   }
-  /// The same where some event stays due without end. Example: writes of which nothing is taken.
+  /// Like `turn`, with a bound for cases in which an event stays pending forever, such as a
+  /// writable socket whose writes all fail with EAGAIN.
   void turnBounded() {
     for (int round = 0; round < 40; ++round) event_base_loop(base(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
   }
@@ -128,7 +130,7 @@
   return descriptor;
 }
 
-/// An address at which nobody listens. Example: `listener.listen(freeAddress())`.
+/// A loopback address at which no socket listens.
 inline Address freeAddress() {
   int descriptor = bindLoopback();
   Address address = addressOf(descriptor);
@@ -136,14 +138,14 @@
   return address;
 }
 
-/// The far end of a connection; it gathers all that comes.
+/// The test's end of a connection; collects all received bytes.
 class TestPeer {
  public:
   TestPeer(TestLoop& loop, int descriptor) : descriptor_(descriptor) {
     readEvent_ = event_new(loop.base(), descriptor, EV_READ | EV_PERSIST, &TestPeer::onRead, this);
     event_add(readEvent_, nullptr);
   }
-  /// Example: `TestPeer client(loop, address);`
+  /// Connects to an address.
   TestPeer(TestLoop& loop, const Address& address) : TestPeer(loop, connectTo(address)) {}
   ~TestPeer() {
     event_free(readEvent_);
@@ -161,7 +163,7 @@
   void endWriting() { shutdown(descriptor_, SHUT_WR); }
   void stopReading() { event_del(readEvent_); }
   void readOn() { event_add(readEvent_, nullptr); }
-  /// Closes; a reset is seen at once. Example: `client.leave(true);`
+  /// Closes the connection; `reset` sends an RST instead of a FIN.
   void leave(bool reset) {
     linger hard{reset ? 1 : 0, 0};
     if (reset) setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -196,7 +198,7 @@
   event* readEvent_;
 };
 
-/// A listening place of the tests' own; whoever comes is put into `peers`.
+/// A listening socket of a test; accepted connections are appended to `peers`.
 class TestListener {
  public:
   explicit TestListener(TestLoop& loop) : loop_(loop), descriptor_(bindLoopback()) {
@@ -211,12 +213,11 @@
   }
   TestListener(const TestListener&) = delete;
   Address address() const { return addressOf(descriptor_); }
-  /// True once the numbered peer has this text. Example: `listener.has(0, "GET ")`.
+  /// Whether the peer of this index has received the text.
   bool has(std::size_t peer, std::string_view text) const {
     return peer < peers.size() && peers[peer]->has(text);
   }
-  /// Takes a connection that is on its way, outside the loop; null if none comes.
-  /// Example: `if (TestPeer* peer = listener.acceptNow()) peer->leave(true);`
+  /// Accepts a pending connection without running the loop; null if none arrives in time.
   TestPeer* acceptNow() {
     pollfd wanted{descriptor_, POLLIN, 0};
     constexpr int kLongestMilliseconds = 2000;
--- a/tests/main.cc
+++ b/tests/main.cc
@@ -3,7 +3,8 @@
 #include <CppUTest/TestRegistry.h>
 
 int main(int count, char** words) {
-  // The libraries keep things for the life of the process; the sanitizer build looks for leaks.
+  // Libraries hold allocations until the process exits, which CppUTest would report as leaks; the
+  // sanitizer build detects real ones.
   MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   return CommandLineTestRunner::RunAllTests(count, words);
 }
--- a/tests/member_schedule_test.cc
+++ b/tests/member_schedule_test.cc
@@ -1,4 +1,5 @@
-// Frames between members at every byte boundary: torn, split, of another fleet, cut by resets.
+// Frames between members at every byte boundary: truncated, split, damaged, of another fleet, and
+// on connections that are reset.
 #include <errno.h>
 
 #include <cstdio>
@@ -11,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kSenderField = 32;  // each frame is led by its sender's address
+constexpr std::size_t kSenderField = 32;  // each frame is preceded by its sender's address
 
-/// A frame as it stands on the wire, with its sender.
+/// A frame as it is on the wire, preceded by its sender's address.
 std::string wireFrame(std::string_view fleet, std::uint64_t number) {
   std::string lead = "127.0.0.1:9";
   lead.resize(kSenderField, '\0');
@@ -25,7 +26,7 @@
   return request == nullptr ? 0 : request->have.value;
 }
 
-/// The numbers of the frames on one connection; `torn` if something else stands there.
+/// The numbers of the frames on one connection; sets `torn` if there is anything but frames.
 std::vector<std::uint64_t> framesOn(std::string_view bytes, bool& torn) {
   std::vector<std::uint64_t> numbers;
   torn = false;
@@ -58,7 +59,7 @@
     failConnects(0, 0);
     std::printf("\n%s: %zu runs\n", UtestShell::getCurrent()->getName().asCharString(), runs);
   }
-  /// A good frame on a connection of its own is taken, and nothing before it that was torn.
+  /// A valid frame on a new connection is accepted, and is the only one accepted since `before`.
   void checkNext(std::uint64_t number, std::size_t before) {
     TestPeer peer(loop, address);
     peer.send(wireFrame("one", number));
@@ -68,7 +69,7 @@
   }
 };
 
-TEST(MemberSchedules, FramesTornAtEveryByteAreNotTaken) {
+TEST(MemberSchedules, FramesTruncatedAtEveryByteAreDropped) {
   std::uint64_t number = 0;
   enum class TornBy { kReset, kClose, kHalfClose, kNextFrame };
   for (TornBy how : {TornBy::kReset, TornBy::kClose, TornBy::kHalfClose, TornBy::kNextFrame})
@@ -86,7 +87,7 @@
     }
 }
 
-TEST(MemberSchedules, FramesSplitAtEveryByteAreTakenOnce) {
+TEST(MemberSchedules, FramesSplitAtEveryByteAreDeliveredOnce) {
   std::uint64_t number = 0;
   for (std::size_t size = 0; size <= wireFrame("one", 1).size(); ++size, ++runs) {
     std::string frame = wireFrame("one", number + 1) + wireFrame("one", number + 2);
@@ -101,7 +102,7 @@
   }
 }
 
-TEST(MemberSchedules, FramesOfAnotherFleetEndTheConnection) {
+TEST(MemberSchedules, FramesOfAnotherFleetCloseTheConnection) {
   TestPeer peer(loop, address);
   peer.send(wireFrame("other", 1) + wireFrame("one", 2));
   CHECK(loop.until([&] { return peer.ended || peer.failed; }));
@@ -111,7 +112,7 @@
   runs = 2;
 }
 
-TEST(MemberSchedules, EveryDamagedByteOfAFrameEndsTheConnection) {
+TEST(MemberSchedules, AFrameWithAnyDamagedByteIsDropped) {
   const std::string good = wireFrame("one", 7);
   for (std::size_t place = kSenderField; place < good.size(); ++place, ++runs) {
     std::string bad = good;
@@ -126,9 +127,9 @@
   checkNext(8, 0);
 }
 
-TEST(MemberSchedules, AConnectionThatBreaksAtEveryByteBeginsAnewWithAWholeFrame) {
-  // The receiver resets once it has so many bytes; what follows stands on a new connection, whole
-  // frames from its first byte on, each at most once.
+TEST(MemberSchedules, AReconnectAfterAResetAtEveryByteStartsWithAWholeFrame) {
+  // The receiver resets the connection after this many bytes. Later frames arrive on a new
+  // connection, whole from its first byte on and each at most once.
   std::size_t largest = wireFrame("one", 1).size() * 2;
   for (std::size_t size = 0; size < largest; size += 7, ++runs) {
     TestListener other(loop);
@@ -157,8 +158,8 @@
   }
 }
 
-TEST(MemberSchedules, AMemberOutOfReachIsReachedOnceThereIsAWayAgain) {
-  // A machine without a way says so at once, before any connection is under way.
+TEST(MemberSchedules, AnUnreachableMemberIsRetriedWithinASecond) {
+  // Without a route, connect fails immediately and no connection attempt remains pending.
   for (int error : {ENETUNREACH, EHOSTUNREACH, EADDRNOTAVAIL, ECONNREFUSED}) {
     TestListener other(loop);
     failConnects(1, error);
@@ -170,7 +171,8 @@
       loop.turn();
       return !other.peers.empty() && !other.peers[0]->got.empty();
     }));
-    // Leases are as long: nobody may be out of reach for longer than the way to it was gone.
+    // The bound matches the length of a lease: a member must not stay unreachable long after the
+    // route has returned.
     CHECK(bootNow() - failed < seconds(1));
     ++runs;
   }
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -1,4 +1,5 @@
-// Placements: answers keep every constraint, and a conflict names those that clash.
+// The placement solver: solutions satisfy every constraint, and a conflict names the constraints
+// that contradict each other.
 #include "place/place.h"
 
 #include "tests/testing.h"
@@ -7,7 +8,7 @@
 
 TEST_GROUP(Place){};
 
-TEST(Place, AnAnswerKeepsEveryConstraint) {
+TEST(Place, ASolutionSatisfiesEveryConstraint) {
   auto placement = solvePlacement(R"({
     "districts": ["north", "south"],
     "engines": [{"id": "a", "places": 10}, {"id": "b", "places": 10}, {"id": "c", "places": 5}],
@@ -21,10 +22,11 @@
   CHECK(placement->engines["a"] != placement->engines["b"]);
   STRCMP_EQUAL("north", placement->tenants["rescue"].c_str());
   STRCMP_EQUAL("south", placement->tenants["guides"].c_str());
-  STRCMP_EQUAL("south", placement->engines["c"].c_str());  // 12 need one engine and c
+  STRCMP_EQUAL("south",
+               placement->engines["c"].c_str());  // a usage of 12 needs c and one more engine
 }
 
-TEST(Place, AConflictNamesItsConstraints) {
+TEST(Place, AConflictNamesTheContradictingConstraints) {
   auto placement = solvePlacement(R"({
     "districts": ["north", "south"], "engines": [{"id": "a"}, {"id": "b"}, {"id": "c"}],
     "constraints": [
@@ -38,7 +40,7 @@
   STRCMP_EQUAL("both-north", placement->conflict[1].c_str());
 }
 
-TEST(Place, WrongFilesNameTheField) {
+TEST(Place, ErrorsOfInvalidFilesNameTheField) {
   CHECK_FALSE(solvePlacement("{").ok());
   auto unknown = solvePlacement(R"({"districts":["n"],"engines":[{"id":"a"}],
     "constraints":[{"name":"x","kind":"in","of":["zzz"],"district":"n"}]})");
--- a/tests/socket_script.cc
+++ b/tests/socket_script.cc
@@ -23,7 +23,7 @@
   return ntohs(place.sin_port);
 }
 
-/// Tells sockets apart, also those that get the same descriptor one after another.
+/// Identifies a socket, even if its descriptor number was used by an earlier socket.
 std::uint64_t cookieOf(int descriptor) {
   std::uint64_t cookie = 0;
   socklen_t size = sizeof cookie;
@@ -67,7 +67,7 @@
 
 namespace {
 
-/// The system's own call of a name, behind the one that this program puts before it.
+/// The definition of a function that follows the one in this program: the C library's.
 template <class Function>
 Function* next(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
@@ -77,7 +77,7 @@
 
 using peppergate::script;
 
-// These stand before the C library's for the whole process, libraries' calls as well.
+// These take precedence over the C library's for the whole process, including calls from libraries.
 extern "C" {
 
 ssize_t send(int descriptor, const void* data, size_t size, int flags) {
@@ -91,7 +91,7 @@
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
   static auto* const kNext = next<ssize_t(int, const msghdr*, int)>("sendmsg");
   if (script == nullptr || message->msg_iovlen == 0) return kNext(descriptor, message, flags);
-  // While there is a script only the first piece is written; the caller goes on with the rest.
+  // With an active script only the first buffer is written; the caller retries with the rest.
   const iovec& first = message->msg_iov[0];
   return send(descriptor, first.iov_base, first.iov_len, flags);
 }
--- a/tests/socket_script.h
+++ b/tests/socket_script.h
@@ -1,8 +1,9 @@
 #pragma once
-// Decides, for one connection, how many bytes of its writes the kernel takes and what comes then.
+// Fault injection for sockets: limits how many bytes of a connection's writes succeed and sets the
+// error of the writes after them.
 //
-// The test program's own `send`, `sendmsg` and `connect` stand before the C library's; without a
-// script they only pass on.
+// The test program defines `send`, `sendmsg` and `connect`, which take precedence over the C
+// library's. Without an active script they only forward to those.
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -10,36 +11,36 @@
 
 namespace peppergate {
 
-/// Applies to the first connection that writes to a port, from its next write on. One at a time.
+/// Applies to the first connection that writes to a port, starting with that write. At most one
+/// script may exist at a time.
 class SocketScript {
  public:
   struct Limit {
-    std::uint16_t port = 0;                // of the other side
-    std::size_t bytes = 0;                 // taken in all
-    int error = 0;                         // of each write after them. Example: ECONNRESET
-    std::function<void()> before = {};     // called once, right before the first write
-    std::function<void()> connected = {};  // called once, right after a connect was begun
+    std::uint16_t port = 0;                // of the remote address
+    std::size_t bytes = 0;                 // that succeed in total
+    int error = 0;                         // errno of each write after them, such as ECONNRESET
+    std::function<void()> before = {};     // called once, just before the first write
+    std::function<void()> connected = {};  // called once, just after a connect was started
   };
   explicit SocketScript(Limit limit);
   ~SocketScript();
   SocketScript(const SocketScript&) = delete;
   SocketScript& operator=(const SocketScript&) = delete;
 
-  /// Bytes taken of the connection so far.
+  /// The bytes of the connection's writes that succeeded so far.
   std::size_t taken() const { return taken_; }
-  /// Called after each connect of the process. Example: with the address connected to.
+  /// Called after each connect of the process, with the remote port.
   void connectBegun(std::uint16_t port);
-  /// How many of `size` bytes a write may hand over; below 0: it fails with `errno`.
+  /// How many of `size` bytes a write may pass on; negative if it fails, with `errno` set.
   long allowed(int descriptor, std::size_t size);
 
  private:
   Limit limit_;
-  std::optional<std::uint64_t> cookie_;  // of the connection that it applies to
+  std::optional<std::uint64_t> cookie_;  // identifies the connection that the script applies to
   std::size_t taken_ = 0;
 };
 
-/// The next `count` connects of the process fail with this. Example: `failConnects(1,
-/// ENETUNREACH)`.
+/// Makes the next `count` connects of the process fail with this errno.
 void failConnects(std::size_t count, int error);
 
 }  // namespace peppergate
--- a/tests/testing.h
+++ b/tests/testing.h
@@ -1,5 +1,5 @@
 #pragma once
-// CppUTest redefines `new` unless it is told not to; every test includes it from here.
+// CppUTest redefines `new` unless this macro is defined; every test includes CppUTest through here.
 #define CPPUTEST_MEM_LEAK_DETECTION_DISABLED
 #include <CppUTest/TestHarness.h>
 
@@ -10,7 +10,7 @@
 
 namespace peppergate {
 
-/// The commands of one kind that a machine gave. Example: `taken<Send>(outbox.take())`.
+/// The commands of one type, in order.
 template <class T>
 std::vector<T> taken(const std::vector<Command>& commands) {
   std::vector<T> found;
@@ -19,7 +19,7 @@
   return found;
 }
 
-/// All messages with their receivers, those of broadcasts one by one.
+/// All sent messages with their receivers; a broadcast yields one entry per receiver.
 inline std::vector<Send> sends(const std::vector<Command>& commands) {
   std::vector<Send> found;
   for (const auto& command : commands) {
@@ -30,7 +30,7 @@
   return found;
 }
 
-/// The messages of one kind among sends. Example: `messages<PrepareReply>(outbox.take())`.
+/// The sent messages of one type, including those of broadcasts.
 template <class T>
 std::vector<T> messages(const std::vector<Command>& commands) {
   std::vector<T> found;
--- a/tests/wall_clock_jumper.cc
+++ b/tests/wall_clock_jumper.cc
@@ -1,5 +1,5 @@
-// Loaded before a daemon's C library in rehearsals: the wall clock jumps an hour ahead and an hour
-// back every other second. The boot and monotonic clocks are left as they are.
+// Preloaded into daemons (LD_PRELOAD) during fault rehearsals: the wall clock alternates each
+// second between an hour ahead and an hour behind. The boot and monotonic clocks are unchanged.
 #include <sys/syscall.h>
 #include <sys/time.h>
 #include <time.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How far the wall clock stands wrong just now. Example: `true time + jumped()`.
+/// The current error of the wall clock, in seconds.
 long jumped() {
   timespec now{};
   syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &now);
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -1,4 +1,4 @@
-// Frames and bad bytes.
+// Encoding and decoding of frames, and rejection of invalid ones.
 #include "wire/frame.h"
 
 #include "core/random.h"
@@ -9,7 +9,7 @@
 
 TEST_GROUP(Wire){};
 
-TEST(Wire, EveryFieldSurvivesTheRoundTrip) {
+TEST(Wire, EveryFieldSurvivesARoundTrip) {
   StateReply answer;
   answer.sentAt = at(12.5);
   answer.proof = true;
@@ -26,7 +26,7 @@
   CHECK(toJson(back).dump(-1, ' ', true) == toJson(answer).dump(-1, ' ', true));
 }
 
-TEST(Wire, WrongHeadsAreTyped) {
+TEST(Wire, EachInvalidHeadFieldHasItsOwnFault) {
   std::string good = encodeFrame(5, Message{StateRequest{}});
   CHECK(readFrameHead(6, good).fault == FrameFault::kOtherFleet);
   std::string bad = good;
@@ -43,7 +43,7 @@
   CHECK(readFrameHead(5, bad).fault == FrameFault::kTooLarge);
 }
 
-TEST(Wire, ADamagedBodyIsSeenBeforeItIsRead) {
+TEST(Wire, ADamagedBodyFailsItsChecksum) {
   std::string frame = encodeFrame(5, Message{ChangeRequest{{1}, "id", "{}"}});
   FrameHead head = readFrameHead(5, frame);
   std::string body = frame.substr(kFrameHeadSize);
@@ -56,7 +56,7 @@
   CHECK_FALSE(bodyIsWhole(head, std::string_view(body).substr(1)));
 }
 
-TEST(Wire, BadBodiesNeverCrash) {
+TEST(Wire, DecodingRandomBodiesNeverCrashes) {
   Random random(9);
   std::string good =
       encodeFrame(5, Message{Shuffle{{}, {MemberRecord{}, MemberRecord{}}, {}, {}, true}});
