--- a/tests/http_client_test.cc
+++ b/tests/http_client_test.cc
@@ -1,4 +1,5 @@
-// Attempts and calls over real loopback sockets: what is kept, what counts as written or whole.
+// The HTTP client on loopback sockets: reuse of connections, and when an attempt or call counts as
+// written, complete or broken.
 #include "io/http_client.h"
 
 #include "tests/http_testing.h"
@@ -34,7 +35,7 @@
       turns.push_back(turned);
       if (onTurn) onTurn(turned);
     });
-    CHECK_EQUAL(before, turns.size());  // nothing is told from inside
+    CHECK_EQUAL(before, turns.size());  // handlers are never called from inside `attempt`
     return command.attempt;
   }
   AttemptId open(bool stream = false) { return open(engine.address(), stream); }
@@ -68,7 +69,7 @@
     for (const auto& turned : turns) text += turned.bytes;
     return text;
   }
-  // One attempt answered whole, whose connection is then kept.
+  // Completes one attempt, after which its connection is idle and can be reused.
   void warmUp() {
     open();
     CHECK(asked(0, "question"));
@@ -80,7 +81,7 @@
   }
 };
 
-TEST(HttpClients, TellsTheTurnsAndUsesTheConnectionAgain) {
+TEST(HttpClients, ReportsEachEventAndReusesTheConnection) {
   open();
   CHECK(asked(0, "Content-Length: 8\r\n\r\nquestion"));
   answer(0, "t1", "Content-Length: 6\r\n\r\nanswer");
@@ -96,7 +97,7 @@
   CHECK_EQUAL(1U, client->opened());
 }
 
-TEST(HttpClients, KeepsNoConnectionThatShowsBytesOrItsEnd) {
+TEST(HttpClients, ClosesIdleConnectionsThatReceiveBytesOrEnd) {
   warmUp();
   engine.peers[0]->send("HTTP/1.1 200 OK\r\n");
   CHECK(loop.until([&] { return client->kept() == 0; }));
@@ -110,15 +111,15 @@
   CHECK(loop.until([&] { return client->kept() == 0; }));
 }
 
-TEST(HttpClients, LooksOnceMoreBeforeItWrites) {
+TEST(HttpClients, ChecksAnIdleConnectionOnceMoreBeforeWriting) {
   warmUp();
-  engine.peers[0]->send("HTTP/1.1 200 OK\r\nX-Test-Id: t0\r\n");  // the loop has not seen it yet
+  engine.peers[0]->send("HTTP/1.1 200 OK\r\nX-Test-Id: t0\r\n");  // not yet read by the loop
   open();
   CHECK(asked(1, "X-Test-Id: t2"));
   CHECK_EQUAL(std::string(), engine.peers[0]->got);
 }
 
-TEST(HttpClients, SurplusBytesEndTheConnectionButTheAnswerIsWhole) {
+TEST(HttpClients, SurplusBytesCloseTheConnectionButTheResponseIsComplete) {
   open();
   CHECK(asked(0, "question"));
   answer(0, "t1", "Content-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
@@ -128,7 +129,7 @@
   CHECK_EQUAL(0U, client->kept());
 }
 
-TEST(HttpClients, NeverPassesOnAnotherRequestsAnswer) {
+TEST(HttpClients, NeverForwardsAnotherRequestsResponse) {
   warmUp();
   open();
   CHECK(asked(0, "X-Test-Id: t2"));
@@ -139,7 +140,7 @@
   CHECK(loop.until([&] { return engine.peers[0]->ended || engine.peers[0]->failed; }));
 }
 
-TEST(HttpClients, ReadsChunksHeadsBeforeTheFinalOneAndSplitBytes) {
+TEST(HttpClients, ReadsInterimHeadsAndChunksByteByByte) {
   open();
   CHECK(asked(0, "question"));
   const std::string text =
@@ -157,7 +158,7 @@
   CHECK_EQUAL(1U, client->kept());
 }
 
-TEST(HttpClients, CutOrGarbledAnswersAreBroken) {
+TEST(HttpClients, TruncatedOrInvalidResponsesAreBroken) {
   const std::string head = "HTTP/1.1 200 OK\r\nX-Test-Id: t";
   struct Bad {
     std::string rest;
@@ -186,7 +187,7 @@
   }
 }
 
-TEST(HttpClients, BytesThatAreNoAnswerAreBroken) {
+TEST(HttpClients, BytesThatAreNotHttpAreBroken) {
   open();
   CHECK(asked(0, "question"));
   engine.peers[0]->send("garbage that is no answer at all\r\n\r\n");
@@ -194,7 +195,7 @@
   STRCMP_EQUAL("WX", kinds().c_str());
 }
 
-TEST(HttpClients, ADeadPortIsNotWritten) {
+TEST(HttpClients, AnAttemptToAClosedPortIsNotWritten) {
   open(freeAddress());
   CHECK(over());
   STRCMP_EQUAL("N", kinds().c_str());
@@ -204,11 +205,11 @@
   STRCMP_EQUAL("N", kinds().c_str());
 }
 
-TEST(HttpClients, TooLateIsNotWritten) {
+TEST(HttpClients, AnAttemptPastItsWriteDeadlineIsNotWritten) {
   open(engine.address(), false, bootNow());
   CHECK(over());
   STRCMP_EQUAL("N", kinds().c_str());
-  CHECK_EQUAL(1U, client->kept());  // the connection came up and carried nothing
+  CHECK_EQUAL(1U, client->kept());  // the connection was established and is unused
   turns.clear();
   open(engine.address(), false, bootNow());
   CHECK(over());
@@ -218,7 +219,7 @@
   CHECK_EQUAL(1U, engine.peers.size());
 }
 
-TEST(HttpClients, AnEngineThatClosesBehindTheWriteMayHaveRunIt) {
+TEST(HttpClients, AnEngineThatResetsAfterTheWriteMayHaveRunTheRequest) {
   open();
   CHECK(asked(0, "question"));
   engine.peers[0]->leave(true);
@@ -226,7 +227,7 @@
   STRCMP_EQUAL("WX", kinds().c_str());
 }
 
-TEST(HttpClients, AnEarlyAnswerCountsThoughTheRequestWasNotTakenWhole) {
+TEST(HttpClients, AResponseCountsBeforeTheRequestIsFullyWritten) {
   question = std::string(32U << 20, 'x');
   open();
   CHECK(loop.until([&] { return !engine.peers.empty(); }));
@@ -238,7 +239,7 @@
   CHECK_EQUAL(0U, client->kept());
 }
 
-TEST(HttpClients, ConnectionsAreKeptOnlyAsTheEngineSays) {
+TEST(HttpClients, ConnectionsAreReusedOnlyIfTheEngineAllowsIt) {
   const std::string rests[] = {"Content-Length: 0\r\nConnection: close\r\n\r\n",
                                "Content-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n"};
   for (const auto& rest : rests) {
@@ -253,7 +254,7 @@
   }
 }
 
-TEST(HttpClients, StreamsComeInWholeEvents) {
+TEST(HttpClients, StreamsAreReportedInWholeEvents) {
   open(true);
   CHECK(asked(0, "question"));
   answer(0, "t1", "Transfer-Encoding: chunked\r\n\r\n");
@@ -285,7 +286,7 @@
   CHECK_EQUAL(std::string("id: rest"), turns[4].bytes);
 }
 
-TEST(HttpClients, ACutStreamTellsNoHalfEvent) {
+TEST(HttpClients, ATruncatedStreamReportsNoPartialEvent) {
   open(true);
   CHECK(asked(0, "question"));
   answer(0, "t1", "Transfer-Encoding: chunked\r\n\r\n17\r\nid: 1\ndata: a\n\nid: 2\nda\r\n");
@@ -295,7 +296,7 @@
   CHECK_EQUAL(std::string("id: 1\ndata: a\n\n"), bodies());
 }
 
-TEST(HttpClients, ACancelInsideATurnIsTheLast) {
+TEST(HttpClients, NoEventFollowsACancelFromInsideAHandler) {
   for (AttemptTurn last : {AttemptTurn::kWritten, AttemptTurn::kHead, AttemptTurn::kBody}) {
     turns.clear();
     onTurn = [this, last](const AttemptTurned& turned) {
@@ -311,14 +312,14 @@
   }
 }
 
-TEST(HttpClients, ACancelBeforeTheConnectionIsUp) {
+TEST(HttpClients, NoEventFollowsACancelBeforeTheConnectionIsEstablished) {
   client->cancel(open());
   client->cancel({99});
   loop.turn();
   CHECK_EQUAL(0U, turns.size());
 }
 
-TEST(HttpClients, AnAttemptFromInsideTheLastTurnUsesTheSameConnection) {
+TEST(HttpClients, AnAttemptFromInsideTheFinalHandlerReusesTheConnection) {
   onTurn = [this](const AttemptTurned& turned) {
     if (turned.turn == AttemptTurn::kEnded && lastAttempt == 1) open();
   };
@@ -332,7 +333,7 @@
   CHECK_EQUAL(1U, client->opened());
 }
 
-TEST(HttpClients, PausedAttemptsAreReadLater) {
+TEST(HttpClients, PausedAttemptsAreReadAfterTheyResume) {
   AttemptId attempt = open();
   CHECK(asked(0, "question"));
   CHECK(loop.until([&] { return turns.size() == 1; }));
@@ -345,7 +346,7 @@
   STRCMP_EQUAL("WHBE", kinds().c_str());
 }
 
-TEST(HttpClients, CallsShareTheConnections) {
+TEST(HttpClients, CallsReuseTheConnectionsOfAttempts) {
   warmUp();
   call();
   CHECK(asked(0, "GET /report HTTP/1.1\r\nHost: 127.0.0.1:"));
@@ -360,8 +361,8 @@
   CHECK_EQUAL(1U, client->opened());
 }
 
-TEST(HttpClients, ACallNeverTakesARequestsAnswer) {
-  // The answer to the attempt before comes once more, where the call's own is due.
+TEST(HttpClients, ACallNeverAcceptsTheResponseOfAnAttempt) {
+  // The response to the previous attempt is repeated in place of the call's response.
   warmUp();
   call();
   CHECK(asked(0, "GET /report"));
@@ -373,7 +374,7 @@
   CHECK_EQUAL(0U, client->kept());
 }
 
-TEST(HttpClients, ACallThatMayNotMeetAnothersAnswerHasAConnectionOfItsOwn) {
+TEST(HttpClients, ACallWithItsOwnConnectionReusesNone) {
   warmUp();
   HttpCall order;
   order.method = "POST";
@@ -386,12 +387,12 @@
   engine.peers[1]->send("HTTP/1.1 202 Taken\r\nContent-Length: 0\r\n\r\n");
   CHECK(loop.until([&] { return answers.size() == 1; }));
   CHECK_EQUAL(202, answers[0].status);
-  CHECK_EQUAL(1U, client->kept());  // the attempt's, not the order's
+  CHECK_EQUAL(1U, client->kept());  // the attempt's connection, not the order's
   CHECK(loop.until([&] { return engine.peers[1]->ended; }));
   CHECK_EQUAL(std::string(), engine.peers[0]->got);
 }
 
-TEST(HttpClients, CallsEndInTime) {
+TEST(HttpClients, CallsTimeOut) {
   call(milliseconds(30));
   CHECK(asked(0, "/report"));
   CHECK(loop.until([&] { return answers.size() == 1; }));
@@ -407,7 +408,7 @@
   CHECK(!answers[1].written);
 }
 
-TEST(HttpClients, EndsWithAllThatIsUnderWay) {
+TEST(HttpClients, NoEventFollowsTheDestructionOfTheClient) {
   warmUp();
   open();
   open(freeAddress());
@@ -421,7 +422,7 @@
   CHECK_EQUAL(0U, answers.size());
 }
 
-TEST(HttpClients, KeptConnectionsEndByTheirAge) {
+TEST(HttpClients, IdleConnectionsExpire) {
   open();
   CHECK(asked(0, "question"));
   answer(0, "t1", "Content-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n");
--- a/tests/http_listener_test.cc
+++ b/tests/http_listener_test.cc
@@ -1,4 +1,4 @@
-// The clients' listener over real loopback sockets: framing, order, cuts, time limits.
+// The HTTP listener on loopback sockets: framing, order of responses, truncation and time limits.
 #include "io/http_listener.h"
 
 #include "tests/http_testing.h"
@@ -39,7 +39,7 @@
     listener.answer(AnswerBody{request, body});
     listener.answer(AnswerDone{request, true});
   }
-  // What a client gets that sends this and ends its side.
+  // Sends a text on a new connection and returns all bytes received until the listener closes it.
   std::string exchange(const std::string& text) {
     TestPeer client(loop, address);
     client.send(text);
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(HttpListeners, PassesTheRequestOnAsSentAndKeepsTheConnection) {
+TEST(HttpListeners, ReportsTheRequestAsSentAndKeepsTheConnection) {
   TestPeer client(loop, address);
   client.send(
       "POST /a/b?c=d HTTP/1.1\r\nHost: one.example\r\nX-Test-Id: t1\r\nX-Odd:  kept  \r\n"
@@ -74,7 +74,7 @@
   CHECK_EQUAL(1U, listener.connections());
 }
 
-TEST(HttpListeners, CommandsBehindTheEndChangeNothing) {
+TEST(HttpListeners, CommandsAfterTheEndOfAResponseAreIgnored) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -88,7 +88,7 @@
   CHECK(!client.has("503"));
 }
 
-TEST(HttpListeners, TakesChunkedBodiesApartAndAnswersInChunks) {
+TEST(HttpListeners, DecodesChunkedBodiesAndRespondsInChunks) {
   TestPeer client(loop, address);
   client.send(
       "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -129,7 +129,7 @@
   CHECK(client.got.find("second") < client.got.find("third"));
 }
 
-TEST(HttpListeners, AnswersFromInsideTheRequestsEvent) {
+TEST(HttpListeners, HandlersMayRespondImmediately) {
   atOnce = [this](const RequestArrived& event) { answerWhole(event.request, "now"); };
   TestPeer client(loop, address);
   std::string many;
@@ -141,7 +141,7 @@
   CHECK_EQUAL(0U, listener.connections());
 }
 
-TEST(HttpListeners, RefusesWhatOthersMightReadDifferently) {
+TEST(HttpListeners, RejectsRequestsThatOtherParsersMightReadDifferently) {
   const std::string lead = "POST / HTTP/1.1\r\nHost: a\r\n";
   for (const std::string& text :
        {lead + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -175,7 +175,7 @@
   CHECK_EQUAL(0U, arrived.size());
 }
 
-TEST(HttpListeners, RefusesWhatItDoesNotSpeak) {
+TEST(HttpListeners, RejectsUnsupportedFeatures) {
   const std::string lead = "POST / HTTP/1.1\r\nHost: a\r\n";
   CHECK(exchange(lead + "Transfer-Encoding: gzip\r\n\r\n").starts_with("HTTP/1.1 501"));
   CHECK(exchange(lead + "Expect: the best\r\n\r\n").starts_with("HTTP/1.1 417"));
@@ -184,7 +184,7 @@
   CHECK_EQUAL(0U, arrived.size());
 }
 
-TEST(HttpListeners, BoundsHeadsAndBodies) {
+TEST(HttpListeners, LimitsTheSizeOfHeadsAndBodies) {
   RequestLimits limits;
   limits.headerBytes = 200;
   limits.bodyBytes = 10;
@@ -199,7 +199,7 @@
   CHECK_EQUAL(0U, arrived.size());
 }
 
-TEST(HttpListeners, EndsSlowHeadsWithAnAnswerAndIdleConnectionsWithout) {
+TEST(HttpListeners, AnswersSlowHeadsWith408AndClosesIdleConnectionsSilently) {
   RequestLimits limits;
   limits.headerWait = limits.idle = milliseconds(20);
   listener.limits(limits);
@@ -211,7 +211,7 @@
   CHECK(loop.until([&] { return listener.connections() == 0; }));
 }
 
-TEST(HttpListeners, AsksForAnExpectedBody) {
+TEST(HttpListeners, SendsContinueForAnExpectedBody) {
   TestPeer client(loop, address);
   client.send("POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n");
   CHECK(loop.until([&] { return client.has("HTTP/1.1 100 Continue\r\n\r\n"); }));
@@ -220,7 +220,7 @@
   CHECK_EQUAL(std::string("abc"), arrived[0].wire->body);
 }
 
-TEST(HttpListeners, AClientThatEndsItsWritingSideHasLeft) {
+TEST(HttpListeners, AHalfClosedClientCountsAsDisconnected) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nGET /cut");
   client.endWriting();
@@ -230,12 +230,12 @@
   CHECK(arrived[0].request == gone[0]);
   answerWhole(arrived[0].request, "to nobody");
   loop.turn();
-  CHECK_EQUAL(1U, arrived.size());  // what it had sent ahead is not taken up
+  CHECK_EQUAL(1U, arrived.size());  // its pipelined requests are not reported
   CHECK_EQUAL(std::string(), client.got);
   CHECK_EQUAL(0U, listener.connections());
 }
 
-TEST(HttpListeners, TellsOnceOfAClientThatIsGone) {
+TEST(HttpListeners, ReportsADisconnectedClientOnce) {
   auto client = std::make_unique<TestPeer>(loop, address);
   client->send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -248,7 +248,7 @@
   CHECK_EQUAL(0U, listener.connections());
 }
 
-TEST(HttpListeners, SeesAClosedClientBeforeAnythingIsWritten) {
+TEST(HttpListeners, DetectsAClosedClientBeforeWriting) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -262,14 +262,14 @@
   CHECK_EQUAL(1U, gone.size());
 }
 
-TEST(HttpListeners, AsksTheSocketWhetherAClientIsStillThere) {
+TEST(HttpListeners, ChecksTheSocketWhetherAClientIsConnected) {
   TestPeer stays(loop, address), closes(loop, address), resets(loop, address);
   for (TestPeer* client : {&stays, &closes, &resets}) {
     client->send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
     CHECK(arrives(arrived.size() + 1));
   }
   closes.leave(false);
-  resets.leave(true);  // neither was seen by the loop yet
+  resets.leave(true);  // neither was read by the loop yet
   CHECK(listener.clientPresent(arrived[0].request));
   CHECK_EQUAL(0U, gone.size());
   CHECK_FALSE(listener.clientPresent(arrived[1].request));
@@ -277,13 +277,13 @@
   CHECK_EQUAL(2U, gone.size());
   CHECK_FALSE(listener.clientPresent(arrived[1].request));
   loop.turn();
-  CHECK_EQUAL(2U, gone.size());  // each is told once
+  CHECK_EQUAL(2U, gone.size());  // each is reported once
   answerWhole(arrived[0].request, "still there");
   CHECK(loop.until([&] { return stays.has("still there"); }));
-  CHECK_FALSE(listener.clientPresent(arrived[0].request));  // it has its answer
+  CHECK_FALSE(listener.clientPresent(arrived[0].request));  // it has its response
 }
 
-TEST(HttpListeners, ACutAnswerCannotBeTakenForWhole) {
+TEST(HttpListeners, ATruncatedResponseCannotAppearComplete) {
   TestPeer told(loop, address), chunked(loop, address), old(loop, address), none(loop, address);
   told.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -299,7 +299,8 @@
   for (std::size_t one = 0; one < 3; ++one)
     listener.answer(AnswerBody{arrived[one].request, "part"});
   CHECK(loop.until([&] { return told.has("part") && chunked.has("part") && old.has("part"); }));
-  listener.answer(AnswerDone{arrived[0].request, true});  // shorter than told: not whole
+  listener.answer(
+      AnswerDone{arrived[0].request, true});  // shorter than its Content-Length, so not complete
   for (std::size_t one = 1; one < 4; ++one)
     listener.answer(AnswerDone{arrived[one].request, false});
   CHECK(loop.until([&] { return told.ended && chunked.ended && old.failed && none.ended; }));
@@ -307,7 +308,7 @@
   CHECK_EQUAL(std::string(), none.got);
 }
 
-TEST(HttpListeners, NeverSendsMoreThanWasTold) {
+TEST(HttpListeners, NeverSendsMoreThanItsContentLength) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
   CHECK(arrives(1));
@@ -318,7 +319,7 @@
   CHECK(client.got.ends_with("\r\n\r\nfour"));
 }
 
-TEST(HttpListeners, HeadsWithoutBodies) {
+TEST(HttpListeners, ResponsesToHeadAndWith204HaveNoBody) {
   TestPeer client(loop, address);
   client.send("HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -332,7 +333,7 @@
   CHECK(!client.has("chunked"));
 }
 
-TEST(HttpListeners, RefusesAtOnceAndGoesOn) {
+TEST(HttpListeners, RejectsARequestAndKeepsTheConnection) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\nX-Test-Id: t3\r\n\r\n");
   CHECK(arrives(1));
@@ -345,7 +346,7 @@
   CHECK_EQUAL(1U, listener.connections());
 }
 
-TEST(HttpListeners, TellsOfSlowClients) {
+TEST(HttpListeners, ReportsBackpressureOfSlowClients) {
   TestPeer client(loop, address);
   client.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
@@ -365,13 +366,13 @@
   CHECK(loop.until([&] { return client.got.size() > kWhole; }));
 }
 
-TEST(HttpListeners, LeavesWithoutCuttingAnybodyShort) {
+TEST(HttpListeners, DrainsWithoutTruncatingResponses) {
   TestPeer busy(loop, address), idle(loop, address);
   busy.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(1));
   listener.leave();
   CHECK(loop.until([&] { return idle.ended; }));
-  TestPeer late(loop, address);  // it is still taken
+  TestPeer late(loop, address);  // still accepted
   late.send("GET /late HTTP/1.1\r\nHost: a\r\n\r\n");
   CHECK(arrives(2));
   answerWhole(arrived[0].request, "busy");
--- a/tests/http_schedule_clients_test.cc
+++ b/tests/http_schedule_clients_test.cc
@@ -1,4 +1,5 @@
-// Every byte boundary of a client's request and of its answer, and what the client may do there.
+// Exchanges in which a client splits, closes or resets at each byte boundary of its request or of
+// its response.
 #include <cstdio>
 
 #include "tests/http_path.h"
@@ -11,7 +12,7 @@
 constexpr std::array kClientEvents{ClientEvent::kReset, ClientEvent::kHalfClose,
                                    ClientEvent::kClose, ClientEvent::kSplit};
 
-/// A request whose body comes in chunks, or with its length.
+/// The text of a request with a chunked body or a Content-Length.
 std::string requestText(const Asked& asked, bool inChunks) {
   if (!inChunks) return asked.text();
   return "POST /a/b HTTP/1.1\r\nHost: " + asked.host + "\r\nX-Attempt-Id: " + asked.id +
@@ -43,19 +44,19 @@
     std::string text = std::string(rule) + ": " + running;
     FAIL(text.c_str());
   }
-  /// Another client's request is served whatever the one before did.
+  /// Checks that another client's request is served, whatever the previous client did.
   void checkNext() {
     Asked next = nextAsked("unsafe");
     auto client = path.send(next);
-    check(path.finish(*client, known), "the next request has no answer");
+    check(path.finish(*client, known), "the next request has no response");
     FoundAnswer answer = findAnswer(client->got, client->ended, client->failed);
     check(answer.complete && answer.status == 200 && answer.behind == 0,
           "the next request is not served");
-    check(answer.headers["x-attempt-id"] == next.id, "an answer reached another caller");
-    check(answer.body.find("<" + next.id + " by ") == 0, "another request's body");
+    check(answer.headers["x-attempt-id"] == next.id, "a response reached another client");
+    check(answer.body.find("<" + next.id + " by ") == 0, "the body of another request");
     client->leave(true);
   }
-  /// How many engines got a request with this id.
+  /// How often engines received a request with this id.
   std::size_t runsOf(const std::string& id) {
     std::size_t count = 0;
     for (const auto& engine : path.engines)
@@ -67,7 +68,7 @@
   }
 };
 
-TEST(HttpClientSchedules, RequestsCutAtEveryByteReachNoEngine) {
+TEST(HttpClientSchedules, RequestsTruncatedAtEveryByteReachNoEngine) {
   for (bool inChunks : {false, true})
     for (ClientEvent event : kClientEvents)
       for (std::size_t boundary = 0;; ++boundary) {
@@ -80,34 +81,36 @@
         TestPeer client(path.loop, path.address());
         client.send(std::string_view(text).substr(0, boundary));
         path.loop.turn();
-        check(runsOf(asked.id) == 0, "a request that is not whole reached an engine");
+        check(runsOf(asked.id) == 0, "an incomplete request reached an engine");
         if (event == ClientEvent::kSplit) {
           client.send(std::string_view(text).substr(boundary));
-          check(path.finish(client, known), "no end to an exchange");
+          check(path.finish(client, known), "an exchange did not end");
           FoundAnswer found = findAnswer(client.got, client.ended, client.failed);
           check(found.complete && found.status == 200, "a split request is not served");
-          check(found.body == bodyFor(asked, 0), "another body");
+          check(found.body == bodyFor(asked, 0), "wrong body");
           check(runsOf(asked.id) == 1, "a request ran more than once");
           check(path.engines[0]->peers.back()->got.ends_with("\r\n\r\nquestion"),
-                "the body is not as sent");
+                "the engine did not receive the body as sent");
           client.leave(true);
         } else if (event == ClientEvent::kHalfClose) {
           client.endWriting();
           check(path.loop.until([&] { return client.ended || client.failed; }),
-                "half a request is waited for without end");
-          check(client.got.empty() || client.got.starts_with("HTTP/1.1 4"), "an answer to half");
+                "a truncated request keeps its connection open");
+          check(client.got.empty() || client.got.starts_with("HTTP/1.1 4"),
+                "a truncated request got a response other than a client error");
         } else {
           client.leave(event == ClientEvent::kReset);
           path.loop.turn();
         }
-        if (event != ClientEvent::kSplit) check(runsOf(asked.id) == 0, "a cut request ran");
+        if (event != ClientEvent::kSplit)
+          check(runsOf(asked.id) == 0, "a truncated request reached an engine");
         if (boundary % 16 == 0) checkNext();
         path.clear();
       }
 }
 
-TEST(HttpClientSchedules, ClientsSilentFromAnyByteOnAreToldSo) {
-  // All at the same moment, so that the time is waited for once.
+TEST(HttpClientSchedules, ClientsThatStallAtAnyByteTimeOut) {
+  // All clients stall at the same time, so that the timeout elapses only once.
   RequestLimits limits;
   limits.headerWait = limits.idle = milliseconds(50);
   path.limits(limits);
@@ -124,17 +127,17 @@
                 std::to_string(boundary);
       TestPeer& client = *clients[boundary];
       check(path.loop.until([&] { return client.ended || client.failed; }),
-            "a silent client is kept");
+            "the connection of a stalled client stays open");
       check(boundary == 0 ? client.got.empty() : client.got.starts_with("HTTP/1.1 408"),
-            "not told that it was too slow");
+            "a stalled client got no 408");
     }
-    check(runsOf(asked.id) == 0, "a request that is not whole reached an engine");
+    check(runsOf(asked.id) == 0, "an incomplete request reached an engine");
   }
 }
 
-TEST(HttpClientSchedules, ClientsThatLeaveAtEveryByteOfTheirAnswer) {
-  // The engine has sent so much when the client leaves; the connection to the engine, if it is
-  // kept, brings the next client nothing of it.
+TEST(HttpClientSchedules, ClientsThatDisconnectAtEveryByteOfTheResponse) {
+  // The engine has sent this many bytes when the client disconnects. If the connection to the
+  // engine is kept alive, the next client must receive none of the old response.
   for (std::string_view host : kHosts)
     for (ClientEvent event : {ClientEvent::kReset, ClientEvent::kClose, ClientEvent::kHalfClose})
       for (std::size_t boundary = 0;; ++boundary) {
@@ -153,16 +156,17 @@
         else client->leave(event == ClientEvent::kReset);
         path.loop.turn();
         bool stopped = request.peer->ended || request.peer->failed;
-        check(stopped || boundary == answer.size(), "an engine works on for a client that left");
-        check(path.live() == 0, "a request outlives its client");
+        check(stopped || boundary == answer.size(),
+              "an engine continues for a client that has disconnected");
+        check(path.live() == 0, "a request remains after its client has disconnected");
         if (!stopped) request.peer->send(std::string_view(answer).substr(boundary));
         path.loop.turn();
         if (event == ClientEvent::kHalfClose) {
           check(path.loop.until([&] { return client->ended || client->failed; }),
-                "a connection whose client left stays open");
+                "the connection of a half-closed client stays open");
           FoundAnswer found = findAnswer(client->got, client->ended, client->failed);
           check(found.complete == (boundary == answer.size()),
-                "a client that left has another answer than it had when it left");
+                "a client received more of the response after it had disconnected");
         }
         check(runsOf(asked.id) == 1, "a request ran more than once");
         if (boundary % 4 == 0) checkNext();
@@ -170,7 +174,7 @@
       }
 }
 
-TEST(HttpClientSchedules, RequestsBehindOneAnotherAreAnsweredInTurnAtEverySplit) {
+TEST(HttpClientSchedules, PipelinedRequestsAreAnsweredInOrderAtEverySplit) {
   for (std::size_t boundary = 0;; ++boundary) {
     Asked first = nextAsked("unsafe"), second = nextAsked("unsafe");
     std::string text = first.text() + requestText(second, true);
@@ -190,22 +194,24 @@
                         client.ended, client.failed)
           .complete;
     }),
-          "no two answers");
+          "two pipelined requests did not get two responses");
     FoundAnswer one = findAnswer(client.got, client.ended, client.failed);
     FoundAnswer two = findAnswer(
         std::string_view(client.got).substr(client.got.size() - one.behind), false, false);
-    check(one.headers["x-attempt-id"] == first.id && one.body == bodyFor(first, 0), "the first");
-    check(two.headers["x-attempt-id"] == second.id && two.body == bodyFor(second, 0), "the second");
-    check(two.complete && two.behind == 0, "bytes behind the last answer");
+    check(one.headers["x-attempt-id"] == first.id && one.body == bodyFor(first, 0),
+          "wrong first response");
+    check(two.headers["x-attempt-id"] == second.id && two.body == bodyFor(second, 0),
+          "wrong second response");
+    check(two.complete && two.behind == 0, "bytes follow the last response");
     check(runsOf(first.id) == 1 && runsOf(second.id) == 1, "a request ran more than once");
     client.leave(true);
     path.clear();
   }
 }
 
-TEST(HttpClientSchedules, SurplusBytesBehindARequestNeverRun) {
-  // Bytes that are no request, behind a whole one, at every length: the first is answered whole,
-  // then the connection ends with a refusal.
+TEST(HttpClientSchedules, SurplusBytesAfterARequestNeverRun) {
+  // Bytes of every length that form no request follow a complete one. The complete request is
+  // answered in full, then the connection ends with a 400.
   const std::string surplus =
       "XYZ garbage\x01\r\n\r\nPOST /a/b HTTP/1.1\r\nX-Attempt-Id: evil\r\n\r\n";
   for (std::size_t size = 1; size <= surplus.size(); ++size) {
@@ -214,12 +220,13 @@
     ++runs;
     TestPeer client(path.loop, path.address());
     client.send(asked.text() + surplus.substr(0, size));
-    check(path.finish(client, known), "no end to an exchange");
+    check(path.finish(client, known), "an exchange did not end");
     path.loop.turn();
     FoundAnswer found = findAnswer(client.got, client.ended, client.failed);
     check(found.complete && found.status == 200 && found.body == bodyFor(asked, 0), "not served");
     std::string_view behind = std::string_view(client.got).substr(client.got.size() - found.behind);
-    check(behind.empty() || behind.starts_with("HTTP/1.1 400"), "an answer to no request");
+    check(behind.empty() || behind.starts_with("HTTP/1.1 400"),
+          "surplus bytes got a response other than 400");
     check(runsOf("evil") == 0, "a smuggled request ran");
     client.leave(true);
     path.clear();
--- a/tests/http_schedule_test.cc
+++ b/tests/http_schedule_test.cc
@@ -1,5 +1,5 @@
-// Every byte boundary of an exchange with an engine, and what the engine may do there. Judged from
-// outside: by the bytes that clients got and by the bytes that engines got.
+// Exchanges in which an engine fails in each possible way at each byte boundary. Results are judged
+// only by the bytes that clients and engines received.
 #include <errno.h>
 
 #include <cstdio>
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// What the engine does once it has sent so many bytes of its answer.
+/// What the engine does after it has sent part of its response.
 enum class Ending : std::uint8_t { kReset, kHalfClose, kClose, kSilence, kGarbage, kSplit };
 constexpr std::array kEndings{Ending::kReset,   Ending::kHalfClose, Ending::kClose,
                               Ending::kSilence, Ending::kGarbage,   Ending::kSplit};
 constexpr std::array kFramings{Framing::kLength, Framing::kChunked, Framing::kUntilClose};
 
-/// Bytes that are no part of any answer.
+/// Bytes that are part of no response.
 constexpr std::string_view kGarbage = "\x01\x02 no part of it";
 
-/// Longer than any limit of a request.
+/// Longer than any time limit of a request.
 constexpr Duration kPastEveryLimit = seconds(30);
 
 }  // namespace
@@ -30,7 +30,7 @@
   std::map<std::string, Asked> known;
   std::uint64_t lastId = 0;
   std::size_t runs = 0;
-  std::string running;  // what a failed check is told with
+  std::string running;  // describes the current case in messages of failed checks
 
   void teardown() override {
     std::printf("\n%s: %zu exchanges\n", UtestShell::getCurrent()->getName().asCharString(), runs);
@@ -50,51 +50,54 @@
     FAIL(text.c_str());
   }
 
-  /// What holds of every answer that a client gets, whatever became of it.
+  /// Checks the invariants of every response, whatever the outcome of its request.
   FoundAnswer judge(const Asked& asked, const TestPeer& client, bool notRunTold = false) {
     FoundAnswer answer = findAnswer(client.got, client.ended, client.failed);
     std::size_t reached = path.reached();
     if (!answer.headComplete) {
-      check(client.ended || client.failed, "a client is left without an answer or an end");
+      check(client.ended || client.failed,
+            "a client has neither a response nor a closed connection");
       check(client.got.empty() || !client.got.starts_with("HTTP/1.1 2") || client.failed ||
                 client.ended,
-            "half a head stays open");
+            "a connection with a truncated head stays open");
       return answer;
     }
-    check(answer.headers["x-attempt-id"] == asked.id, "an answer reached another caller");
-    check(answer.behind == 0, "bytes stand behind an answer");
+    check(answer.headers["x-attempt-id"] == asked.id, "a response reached another client");
+    check(answer.behind == 0, "bytes follow a complete response");
     bool good = answer.status >= 200 && answer.status < 300;
     if (good && answer.complete) {
-      check(answer.ofEngine(), "a success without its stamp");
+      check(answer.ofEngine(), "a successful response lacks the engine's header");
       bool fromOne = false;
       for (std::size_t engine = 0; engine < HttpPath::kEngines; ++engine)
         fromOne =
             fromOne ||
             (answer.body == bodyFor(asked, engine) &&
              (asked.stream() || answer.headers["x-postmark"] == "e" + std::to_string(engine)));
-      check(fromOne, "a success that is no engine's whole body");
+      check(fromOne, "the body of a successful response is no engine's whole body");
     }
     bool promise = answer.status == 503 || answer.status == 429 || answer.status == 408 ||
                    answer.status == 421;
     if (promise && !answer.ofEngine())
-      check(reached == 0 || notRunTold, "not run was promised, though an engine was sent bytes");
+      check(reached == 0 || notRunTold,
+            "the status says that the request did not run, but an engine received bytes of it");
     if (!asked.repeatable() && !notRunTold)
-      check(reached <= 1, "a request that may not be repeated went to two connections");
+      check(reached <= 1, "a request that is not retryable was written to two connections");
     return answer;
   }
 
-  /// The next client's request on the same path gets its own answer.
+  /// Checks that the next client's request gets its own response.
   void checkNext() {
     Asked next = nextAsked("unsafe");
     path.mark();
     auto client = path.send(next);
-    check(path.finish(*client, known), "the next request has no answer");
+    check(path.finish(*client, known), "the next request has no response");
     FoundAnswer answer = judge(next, *client);
     check(answer.complete && answer.status == 200, "the next request is not served");
     client->leave(true);
   }
 
-  /// One exchange in which the first engine sends so much of an answer, and then does this.
+  /// Runs one exchange in which the first engine sends a response up to `boundary`, then fails as
+  /// `ending` says.
   FoundAnswer exchange(const Asked& asked, const std::string& answer, std::size_t boundary,
                        Ending ending, bool notRunTold = false) {
     ++runs;
@@ -122,7 +125,7 @@
     } else {
       engine.leave(ending == Ending::kReset);
     }
-    check(path.finish(*client, known, &engine), "no end to an exchange");
+    check(path.finish(*client, known, &engine), "an exchange did not end");
     FoundAnswer found = judge(asked, *client, notRunTold);
     client->leave(true);
     return found;
@@ -136,7 +139,7 @@
           Asked asked = nextAsked(host);
           std::string answer = answerFor(asked, 0, framing);
           if (boundary > answer.size()) continue;
-          // Within a body of a told length any byte is as good as another.
+          // Within a body with a Content-Length, garbage can't be told from data.
           bool inBody = framing == Framing::kLength && boundary < answer.size() &&
                         boundary + kGarbage.size() >= answer.size();
           if (ending == Ending::kGarbage && inBody) continue;
@@ -147,9 +150,9 @@
           bool whole = framing != Framing::kUntilClose &&
                        (ending == Ending::kSplit || boundary == answer.size());
           bool served = found.complete && found.status == 200;
-          if (whole) check(served, "a whole answer was not passed on");
-          // Only an engine that may be asked again makes up for a broken answer.
-          if (!whole && !asked.repeatable()) check(!served, "a broken answer appears complete");
+          if (whole) check(served, "a complete response was not forwarded");
+          // Only a retry at another engine makes up for a broken response.
+          if (!whole && !asked.repeatable()) check(!served, "a broken response appears complete");
           if (boundary % 16 == 0) checkNext();
           path.clear();
         }
@@ -157,12 +160,12 @@
   }
 };
 
-TEST(HttpSchedules, UnsafeAtEveryBoundary) { everyBoundary("unsafe"); }
-TEST(HttpSchedules, SafeAtEveryBoundary) { everyBoundary("safe"); }
+TEST(HttpSchedules, UnsafeRequestsAtEveryBoundary) { everyBoundary("unsafe"); }
+TEST(HttpSchedules, SafeRequestsAtEveryBoundary) { everyBoundary("safe"); }
 TEST(HttpSchedules, PlainStreamsAtEveryBoundary) { everyBoundary("plain"); }
-TEST(HttpSchedules, ResumedStreamsAtEveryBoundary) { everyBoundary("resumed"); }
+TEST(HttpSchedules, ResumableStreamsAtEveryBoundary) { everyBoundary("resumed"); }
 
-TEST(HttpSchedules, AnswersThatAreNotTheRequestsAreNeverPassedOn) {
+TEST(HttpSchedules, ResponsesOfOtherRequestsAreNeverForwarded) {
   struct Variant {
     const char* name;
     std::string (*make)(const std::string& good, const Asked& asked);
@@ -184,61 +187,61 @@
          return replaced(good, "X-Attempt-Id: " + asked.id + "\r\n", "");
        },
        false, false},
-      {"two ids, the other one behind",
+      {"two ids, the wrong one last",
        [](const std::string& good, const Asked& asked) {
          return replaced(good, "X-Attempt-Id: " + asked.id,
                          "X-Attempt-Id: " + asked.id + "\r\nX-Attempt-Id: t0");
        },
        false, false},
-      {"no stamp",
+      {"no engine header",
        [](const std::string& good, const Asked&) {
          return replaced(good, "X-Postmark: e0\r\n", "");
        },
        false, false},
-      {"an encoding",
+      {"content encoding",
        [](const std::string& good, const Asked&) {
          return replaced(good, "X-Postmark", "Content-Encoding: gzip\r\nX-Postmark");
        },
        false, false},
-      {"interim heads before",
+      {"interim heads first",
        [](const std::string& good, const Asked&) {
          return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Attempt-Id: "
                 "t0\r\n\r\n" +
                 good;
        },
        false, true},
-      {"another protocol",
+      {"protocol switch",
        [](const std::string& good, const Asked&) {
          return replaced(good, "200 OK", "101 Switching Protocols");
        },
        false, false},
-      {"both lengths",
+      {"chunked and Content-Length",
        [](const std::string& good, const Asked&) {
          return replaced(good, "Content-Length", "Transfer-Encoding: chunked\r\nContent-Length");
        },
        false, false},
-      {"two lengths",
+      {"two Content-Length headers",
        [](const std::string& good, const Asked&) {
          return replaced(good, "Content-Length", "Content-Length: 1\r\nContent-Length");
        },
        false, false},
-      {"full, and says so",
+      {"503 marked as not run",
        [](const std::string& good, const Asked&) {
          return replaced(good, "200 OK\r\n", "503 Full\r\nX-Not-Delivered: 1\r\n");
        },
        true, true},
-      {"full, and does not say so",
+      {"503 without a mark",
        [](const std::string& good, const Asked&) { return replaced(good, "200 OK", "503 Full"); },
        false, false},
-      {"another engine",
+      {"421 from another engine",
        [](const std::string& good, const Asked&) { return replaced(good, "200 OK", "421 Not Me"); },
        true, true},
-      {"a whole other answer behind",
+      {"a complete surplus response",
        [](const std::string& good, const Asked&) {
          return good + replaced(good, "X-Attempt-Id: ", "X-Attempt-Id: t0");
        },
        false, true},
-      {"half an answer behind",
+      {"a truncated surplus response",
        [](const std::string& good, const Asked&) { return good + "HTTP/1.1 2"; }, false, true},
   };
   for (std::string_view host : {"unsafe", "safe"})
@@ -250,15 +253,16 @@
         running = asked.host + ", " + variant.name + ", split at byte " + std::to_string(boundary);
         FoundAnswer found = exchange(asked, answer, boundary, Ending::kSplit, variant.notRun);
         bool served = found.complete && found.status == 200;
-        check(served == (variant.served || asked.repeatable()), "served, or not served");
+        check(served == (variant.served || asked.repeatable()),
+              "wrong outcome: served or not served");
         if (boundary % 16 == 0) checkNext();
         path.clear();
       }
 }
 
-TEST(HttpSchedules, ASurplusAnswerNeverTakesTheNextOnesPlace) {
-  // The first answer comes once more, cut at every byte: while the connection rests, or right after
-  // the next request was written.
+TEST(HttpSchedules, ASurplusResponseNeverAnswersTheNextRequest) {
+  // The first response is repeated, truncated at every byte: while the connection is idle, or just
+  // after the next request was written.
   for (std::string_view host : {"unsafe", "safe"})
     for (bool afterWrite : {false, true})
       for (std::size_t boundary = 1;; ++boundary) {
@@ -272,23 +276,26 @@
         EngineRequest request = path.arrived(first);
         path.answered(request);
         request.peer->send(answer);
-        check(path.finish(*client, known), "the first has no answer");
+        check(path.finish(*client, known), "the first request has no response");
         judge(first, *client);
-        check(path.idle() == 1, "the connection is not kept");
+        check(path.idle() == 1, "the connection is not kept alive");
         path.mark();
         if (!afterWrite) request.peer->send(std::string_view(answer).substr(0, boundary));
         auto next = path.send(second);
         EngineRequest again = path.arrived(second);
         check((again.peer == request.peer) == afterWrite,
-              "a connection with surplus bytes is used");
+              "a connection with surplus bytes was reused");
         if (afterWrite) {
           path.answered(again);
           again.peer->send(answer.substr(0, boundary) + answerFor(second, 0, Framing::kLength));
         }
-        check(path.finish(*next, known, afterWrite ? request.peer : nullptr), "no end");
+        check(path.finish(*next, known, afterWrite ? request.peer : nullptr),
+              "an exchange did not end");
         FoundAnswer found = judge(second, *next);
-        check(found.body.find(first.id + " by") == std::string::npos, "the first one's body");
-        if (!afterWrite) check(found.complete && found.status == 200, "the second is not served");
+        check(found.body.find(first.id + " by") == std::string::npos,
+              "the second response has the body of the first");
+        if (!afterWrite)
+          check(found.complete && found.status == 200, "the second request is not served");
         client->leave(true);
         next->leave(true);
         path.clear();
@@ -296,8 +303,8 @@
 }
 
 TEST(HttpSchedules, WritesThatFailAtEveryByteOfARequest) {
-  // The kernel takes so many bytes of the request, and then says this; on a new connection, and on
-  // one that rested and that the other side forgot.
+  // The kernel accepts this many bytes of the request and then fails with this error; on a new
+  // connection, and on an idle one whose remote side has lost its state.
   for (std::string_view host : kHosts)
     for (bool reused : {false, true})
       for (int error : {ECONNRESET, EPIPE, EAGAIN})
@@ -309,7 +316,7 @@
           std::unique_ptr<TestPeer> client;
           if (reused) {
             client = path.send(warm);
-            check(path.finish(*client, known), "the first has no answer");
+            check(path.finish(*client, known), "the first request has no response");
             client->leave(true);
           }
           path.mark();
@@ -320,31 +327,31 @@
             client = path.send(asked);
             path.loop.turnBounded();
             if (error == EAGAIN) path.pass(kPastEveryLimit);
-            // The other side of a failed write is gone.
+            // After a failed write the remote side is closed.
             else if (script.taken() > 0 && !path.engines[0]->peers.empty())
               for (auto& peer : path.engines[0]->peers)
                 if (!peer->got.empty()) peer->leave(true);
-            check(path.finish(*client, known), "no end to an exchange");
+            check(path.finish(*client, known), "an exchange did not end");
             taken = script.taken();
           }
           FoundAnswer found = judge(asked, *client);
           bool served = found.complete && found.status == 200;
-          // Not a byte was taken, so nothing can have been read: it is sent anew.
+          // The kernel accepted no byte, so no engine can have read any: the request is retried.
           if (bytes == 0 && error != EAGAIN)
-            check(served, "a request that never left is not served");
+            check(served, "a request of which no byte was sent is not served");
           if (asked.repeatable() && error != EAGAIN)
-            check(served, "a request that may be repeated is not served");
+            check(served, "a retryable request is not served");
           if (!asked.repeatable() && taken > 0 && !served)
             check(!found.headComplete || found.status == 502 || found.status == 504,
-                  "what may have run is told otherwise");
+                  "the status denies that the request may have run");
           client->leave(true);
           path.clear();
-          if (taken < bytes) break;  // the whole request was taken
+          if (taken < bytes) break;  // the whole request was accepted
         }
 }
 
-TEST(HttpSchedules, AnEngineThatLeavesAtTheWriteOfAReusedConnection) {
-  // The engine resets or closes after the connection was looked at and before the write.
+TEST(HttpSchedules, AnEngineThatClosesAReusedConnectionJustBeforeTheWrite) {
+  // The engine resets or closes between the last check of the connection and the write.
   for (std::string_view host : kHosts)
     for (bool reset : {true, false})
       for (bool halfClose : {false, true}) {
@@ -353,7 +360,7 @@
         running = std::string(host) + (reset ? " reset" : halfClose ? " half-closed" : " closed");
         ++runs;
         auto first = path.send(warm);
-        check(path.finish(*first, known), "the first has no answer");
+        check(path.finish(*first, known), "the first request has no response");
         TestPeer& engine = *path.engines[0]->peers[0];
         path.mark();
         SocketScript script({path.portOf(0), 1U << 20, 0, [&] {
@@ -361,16 +368,16 @@
                                else engine.leave(reset);
                              }});
         auto client = path.send(asked);
-        check(path.finish(*client, known, &engine), "no end to an exchange");
+        check(path.finish(*client, known, &engine), "an exchange did not end");
         FoundAnswer found = judge(asked, *client);
         if (asked.repeatable()) check(found.status == 200, "not served");
-        if (reset) check(found.status == 200, "nothing left, so it is sent anew");
+        if (reset) check(found.status == 200, "a request of which no byte was sent is not retried");
         path.clear();
       }
 }
 
-TEST(HttpSchedules, AnEngineThatSpeaksOrEndsBeforeItIsAsked) {
-  // A new connection that shows bytes, an end or a reset before the request was written.
+TEST(HttpSchedules, AnEngineThatSendsOrClosesBeforeTheRequest) {
+  // A new connection receives bytes, a FIN or a reset before the request was written.
   for (std::string_view host : kHosts)
     for (int what = 0; what < 4; ++what) {
       Asked asked = nextAsked(host);
@@ -386,19 +393,20 @@
                              if (what == 3) engine->leave(true);
                            }});
       auto client = path.send(asked);
-      check(path.finish(*client, known), "no end to an exchange");
+      check(path.finish(*client, known), "an exchange did not end");
       FoundAnswer found = judge(asked, *client);
-      // Nothing of the request had left, so another engine gets it.
-      check(found.complete && found.status == 200, "not served elsewhere");
-      check(found.headers["x-postmark"] == "e1", "an answer that was never asked for");
-      check(path.reached() == 1, "the request was written to an engine that had spoken or left");
+      // No byte of the request was sent, so it goes to another engine.
+      check(found.complete && found.status == 200, "not served by another engine");
+      check(found.headers["x-postmark"] == "e1", "the response of an engine that had no request");
+      check(path.reached() == 1,
+            "the request was written to an engine that had sent bytes or closed");
       client->leave(true);
       path.clear();
     }
 }
 
-TEST(HttpSchedules, EarlyAnswersOfEnginesThatReadNoFurther) {
-  // The kernel takes so many bytes of the request and no more; the engine answers and closes.
+TEST(HttpSchedules, EarlyResponsesOfEnginesThatStopReading) {
+  // The kernel accepts only this many bytes of the request; the engine responds early.
   for (std::string_view host : {"unsafe", "safe"})
     for (int status : {200, 503, 413})
       for (std::size_t bytes = 1;; ++bytes) {
@@ -412,7 +420,7 @@
           SocketScript script({path.portOf(0), bytes, EAGAIN});
           auto client = path.send(asked);
           check(path.loop.until([&] { return script.taken() > 0 && path.reached() > 0; }),
-                "not a byte came");
+                "the engine received no byte");
           taken = script.taken();
           path.loop.turnBounded();
           bool whole = !path.waiting().empty();
@@ -421,13 +429,13 @@
             answer.replace(9, 6, std::to_string(status) + " No");
             TestPeer& engine = *path.engines[0]->peers.back();
             engine.send(answer);
-            check(path.finish(*client, known, &engine), "no end to an exchange");
+            check(path.finish(*client, known, &engine), "an exchange did not end");
             FoundAnswer found = judge(asked, *client);
-            if (status == 200) check(found.complete && found.status == 200, "not passed on");
-            // A safe request that was refused went to another engine, whose connection is kept.
+            if (status == 200) check(found.complete && found.status == 200, "not forwarded");
+            // A rejected safe request went to another engine, whose connection is kept alive.
             bool elsewhere = !path.engines[1]->peers.empty();
             check(whole || path.idle() == (elsewhere ? 1U : 0U),
-                  "a connection with half a request on it is kept");
+                  "a connection with a partly written request is kept alive");
           }
           client->leave(true);
         }
--- a/tests/prompts_placement_test.cc
+++ b/tests/prompts_placement_test.cc
@@ -1,4 +1,5 @@
-// Placement: what the cost prefers, what walls and weights keep apart, and moves by the plan.
+// Placement of requests: the cost model, separation by cache domain and weights version, and
+// planned fetches of prefix blocks.
 #include "prompts/placement.h"
 
 #include <set>
@@ -17,7 +18,7 @@
 const ModelName kModel{"llm"};
 const std::vector<PartSize> kPrompt{{"rules", 8000}, {"own", 2000}};
 constexpr double kNamedAt = 2;
-constexpr double kOldServe = 11;  // seconds: a bound of 12, less one in which a request begins
+constexpr double kOldServe = 11;  // seconds: the bound of 12, less 1 within which a request starts
 constexpr double kMoment = 0.001;
 
 FleetConfig makeConfig(bool withStore, double linkMbps = 80000) {
@@ -52,7 +53,7 @@
   return engine;
 }
 
-/// One front with its own book, index and moves.
+/// One router with its own engine registry, prefix index and fetches.
 struct Front {
   Options options;
   Random random;
@@ -106,19 +107,19 @@
     CHECK(std::holds_alternative<Placed>(placed));
     return std::get<Placed>(placed);
   }
-  /// Engines with old weights are chosen just before this time, and from it on no more.
+  /// Checks that an engine with old weights is chosen just before this time and not from it on.
   void servesUntil(double edge) {
     STRCMP_EQUAL("/llm.1", place(kPrompt, edge - kMoment).salt.c_str());
     auto refused = ask(kPrompt, edge);
     CHECK(std::holds_alternative<PlaceRefusal>(refused));
     CHECK(std::get<PlaceRefusal>(refused).fault == PlaceFault::kNoEngine);
   }
-  /// A version of the weights is named, and known here from then on.
+  /// Sets the target version of the weights, which this router learns at the same time.
   void name(std::uint64_t version, double time) {
     weights.models[kModel] = {version};
     placement.named(weights, at(time), at(time));
   }
-  /// Whether an engine on these weights, the only one there is, gets a request.
+  /// Whether a request is placed if the only engine has these weights.
   bool servesAlone(std::uint64_t version, double time) {
     book.take({makeEngine(1, version)}, {++listVersion}, at(time));
     return std::holds_alternative<Placed>(ask(kPrompt, time));
@@ -140,16 +141,16 @@
 
 }  // namespace
 
-// ---- the pure cost ----
+// ---- cost model ----
 TEST_GROUP(PlacementCost){};
 
-TEST(PlacementCost, LatenessIsSteepTowardsTheTarget) {
+TEST(PlacementCost, LatenessCostRisesSteeplyTowardsTheTarget) {
   DOUBLES_EQUAL(100, latenessCost(100, 400), 1e-9);
   DOUBLES_EQUAL(400 + 4 * 160, latenessCost(400, 400), 1e-9);
   DOUBLES_EQUAL(1000 + 4 * 160, latenessCost(1000, 400), 1e-9);
 }
 
-TEST(PlacementCost, CasesInOrder) {
+TEST(PlacementCost, CandidatesAreRankedByCost) {
   CostWeights weights;
   weights.targetMs = 400;
   struct Case {
@@ -162,33 +163,34 @@
   collects.reach = reads.reach = far.reach = 8000;
   collects.collects = far.collects = true;
   far.crossing = 10;
-  cases.push_back({"an idle holder before a move", holder, collects});
-  cases.push_back({"a move before a second read", collects, reads});
-  cases.push_back({"a near source before a far one", collects, far});
+  cases.push_back({"an idle engine with the blocks before a fetch", holder, collects});
+  cases.push_back({"a fetch before recomputation", collects, reads});
+  cases.push_back({"a near source before a remote one", collects, far});
   auto crowded = holder;
-  crowded.queueTokens = 40000;  // 400 ms of reading
-  cases.push_back({"a move before a crowded holder", collects, crowded});
-  cases.push_back({"a crowded holder before a second read", crowded, reads});
+  crowded.queueTokens = 40000;  // 400 ms of prefill
+  cases.push_back({"a fetch before an overloaded engine with the blocks", collects, crowded});
+  cases.push_back({"an overloaded engine with the blocks before recomputation", crowded, reads});
   auto clogged = collects;
-  clogged.linkWait = 2500;  // no engine begins such a move, so it is read
-  cases.push_back({"a crowded holder before a move that is not begun", crowded, clogged});
+  clogged.linkWait = 2500;  // such a fetch is never started, so the blocks are recomputed
+  cases.push_back({"an overloaded engine with the blocks before a fetch that is not started",
+                   crowded, clogged});
   auto home = idle(), second = idle(), other = idle();
   second.away = 0.5;
   other.away = 1;
-  cases.push_back({"the home first", home, second});
-  cases.push_back({"then the second", second, other});
+  cases.push_back({"the home engine first", home, second});
+  cases.push_back({"then the second choice", second, other});
   auto older = holder;
   older.olderWeights = true;
-  cases.push_back({"named weights first", holder, older});
+  cases.push_back({"target weights first", holder, older});
   auto crammed = holder;
   crammed.room = 20000;
   crammed.used = 30000;
-  cases.push_back({"room in memory first", holder, crammed});
+  cases.push_back({"free memory first", holder, crammed});
   for (const auto& one : cases)
     CHECK_TEXT(costOf(one.cheaper, weights).total < costOf(one.dearer, weights).total, one.name);
 }
 
-TEST(PlacementCost, TheTimeToTheFirstEventByHand) {
+TEST(PlacementCost, TimeToFirstEventMatchesAManualCalculation) {
   auto numbers = idle();
   numbers.kept = 2000;
   numbers.reach = 8000;
@@ -198,11 +200,12 @@
   auto cost = costOf(numbers, CostWeights{});
   DOUBLES_EQUAL(6000, cost.moved, 1e-9);
   DOUBLES_EQUAL(2000, cost.toRead, 1e-9);
-  // Queue 5 ms, reading 20 ms, the move 2 ms and 120 MB over 10 MB a ms, twice.
+  // Queue 5 ms, prefill 20 ms, fetch 2 ms plus 120 MB at 10 MB per ms, counted twice for the
+  // distance.
   DOUBLES_EQUAL(5 + 20 + 2 + 24, cost.firstEventMs, 1e-9);
 }
 
-TEST(PlacementCost, ForecastsAreShort) {
+TEST(PlacementCost, FreeSlotForecastsAreBounded) {
   for (double running : {1.0, 16.0, 20.0, 300.0}) {
     CHECK(roomForecastMs(running, 16, 3) >= 50);
     CHECK(roomForecastMs(running, 16, 3) <= 500);
@@ -210,10 +213,10 @@
   CHECK(roomForecastMs(16, 16, 0) < roomForecastMs(16, 16, 8));
 }
 
-// ---- the choice ----
+// ---- choice of an engine ----
 TEST_GROUP(Placement){};
 
-TEST(Placement, AnIdleHolderGetsTheRequest) {
+TEST(Placement, AnIdleEngineWithTheBlocksGetsTheRequest) {
   Front front(1);
   front.keeps({"e3"}, kPrompt);
   for (int turn = 0; turn < 10; ++turn) {
@@ -226,7 +229,7 @@
   }
 }
 
-TEST(Placement, AnOverloadedHolderIsCollectedFrom) {
+TEST(Placement, BlocksAreFetchedFromAnOverloadedEngine) {
   Front front(1);
   front.keeps({"e3"}, std::span(kPrompt).first(1));
   front.busy({"e3"}, 40000);
@@ -239,9 +242,9 @@
   LONGS_EQUAL(0, front.fetches.live());
 }
 
-TEST(Placement, WithoutRoomOnLinksTheHolderWaitsOrItIsRead) {
+TEST(Placement, WithoutLinkCapacityTheEngineWithTheBlocksIsChosen) {
   Front front(1);
-  front.config = makeConfig(false, 0);  // engines without links
+  front.config = makeConfig(false, 0);  // engines without link capacity
   front.keeps({"e3"}, std::span(kPrompt).first(1));
   front.busy({"e3"}, 30000);
   Placed placed = front.place(kPrompt);
@@ -249,7 +252,7 @@
   CHECK_FALSE(placed.collectFrom.has_value());
 }
 
-TEST(Placement, TheStoreIsCollectedFromWhereNoEngineKeepsIt) {
+TEST(Placement, BlocksThatNoEngineCachesAreFetchedFromTheStore) {
   Front front(1, 4, true);
   front.keeps(storeId(), std::span(kPrompt).first(1));
   Placed placed = front.place(kPrompt);
@@ -258,7 +261,7 @@
   LONGS_EQUAL(2000, placed.toRead);
 }
 
-TEST(Placement, WhatIsReadFirstIsLeftWithTheStoreOnce) {
+TEST(Placement, NewlyComputedBlocksAreDepositedInTheStoreOnce) {
   Front front(1, 4, true);
   Placed placed = front.place(kPrompt);
   CHECK_FALSE(placed.collectFrom.has_value());
@@ -267,7 +270,7 @@
   CHECK_FALSE(front.place(kPrompt).depositAt.has_value());
 }
 
-TEST(Placement, WhatNobodyKeepsHasOneHomeAtEveryFront) {
+TEST(Placement, AllRoutersChooseTheSameHomeForUncachedBlocks) {
   Front one(1, 18), two(2, 18);
   std::set<EngineId> homes;
   for (int part = 0; part < 60; ++part) {
@@ -276,10 +279,10 @@
     CHECK(first.engine == second.engine);
     homes.insert(first.engine);
   }
-  CHECK(homes.size() >= 12);  // and they are spread
+  CHECK(homes.size() >= 12);  // the homes are spread over the engines
 }
 
-TEST(Placement, HomesOfHundredsOfEnginesAreFoundNearAPoint) {
+TEST(Placement, AllRoutersChooseTheSameHomeAmongHundredsOfEngines) {
   Front one(1, 400), two(2, 400);
   std::set<EngineId> homes;
   for (int part = 0; part < 60; ++part) {
@@ -293,13 +296,13 @@
   STRCMP_EQUAL("e77", one.place(kPrompt).engine.value.c_str());
 }
 
-TEST(Placement, TinyPartsAndPartsOfAllAreSpread) {
+TEST(Placement, TinyAndUbiquitousBlocksHaveNoHome) {
   Front front(1, 8);
   std::vector<PartSize> tiny{{"hello", 60}, {"own", 900}};
   std::set<EngineId> engines;
   for (int turn = 0; turn < 60; ++turn) engines.insert(front.place(tiny).engine);
   CHECK(engines.size() >= 6);
-  // A part that most engines keep has no home any more, the next one has.
+  // A block that most engines cache no longer determines the home; the next block does.
   for (int number = 1; number <= 8; ++number)
     front.keeps({"e" + std::to_string(number)}, std::vector<PartSize>{{"all", 9000}});
   engines.clear();
@@ -309,7 +312,7 @@
   LONGS_EQUAL(1, engines.size());
 }
 
-TEST(Placement, IsolatedTenantsNeverShare) {
+TEST(Placement, IsolatedTenantsNeverShareCachedBlocks) {
   Front front(1, 4, true);
   front.keeps({"e1"}, kPrompt);
   front.keeps({"e2"}, kPrompt, 1, "desk");
@@ -320,17 +323,17 @@
   LONGS_EQUAL(3, salts.size());
   STRCMP_EQUAL("e2", desk.engine.value.c_str());
   STRCMP_EQUAL("e1", open.engine.value.c_str());
-  LONGS_EQUAL(10000, trail.toRead);  // neither of the others is of use to it
+  LONGS_EQUAL(10000, trail.toRead);  // the blocks of other tenants are not usable
   CHECK_FALSE(trail.collectFrom.has_value());
-  // No two walls and models make one text.
+  // Different domains and models never yield the same salt.
   CHECK(saltOf({"a"}, {"m"}, {1}) != saltOf({""}, {"a/m"}, {1}));
   CHECK(saltOf({"a"}, {"b/m"}, {1}) != saltOf({"a/b"}, {"m"}, {1}));
 }
 
-TEST(Placement, NewWeightsAreAnotherSalt) {
+TEST(Placement, NewWeightsChangeTheSalt) {
   Front front(1);
   front.keeps({"e1"}, kPrompt);
-  front.place(kPrompt);  // the weights of the start were seen
+  front.place(kPrompt);  // the router has seen the initial weights
   std::vector<Engine> list;
   for (int number = 1; number <= 4; ++number)
     list.push_back(makeEngine(number, number == 1 ? 1 : 2));
@@ -341,7 +344,8 @@
     STRCMP_EQUAL("/llm.2", soon.salt.c_str());
     CHECK_FALSE(soon.collectFrom.has_value());
   }
-  // Just before the edge the engine with old weights is good enough for whom no other is left.
+  // Just before the limit, an engine with old weights still serves a request that has no other
+  // left.
   front.tried = {{"e2"}, {"e3"}, {"e4"}};
   Placed last = front.place(kPrompt, kNamedAt + kOldServe - kMoment);
   STRCMP_EQUAL("e1", last.engine.value.c_str());
@@ -350,7 +354,7 @@
         PlaceFault::kNoEngine);
   front.tried.clear();
   for (int turn = 0; turn < 20; ++turn) {
-    Placed late = front.place(kPrompt, kNamedAt + kOldServe);  // none starts on old weights
+    Placed late = front.place(kPrompt, kNamedAt + kOldServe);  // no request starts on old weights
     CHECK(late.engine != EngineId{"e1"});
     CHECK_EQUAL(2, late.version->value);
     STRCMP_EQUAL("/llm.2", late.salt.c_str());
@@ -358,21 +362,22 @@
   }
 }
 
-TEST(Placement, OldWeightsServeOnlyUntilTheirTimeIsOver) {
+TEST(Placement, OldWeightsServeOnlyUntilTheTimeLimit) {
   Front front(1);
   front.place(kPrompt);
   front.name(2, kNamedAt);
   STRCMP_EQUAL("/llm.1", front.place(kPrompt, kNamedAt).salt.c_str());
   front.servesUntil(kNamedAt + kOldServe);
-  // A front that began after the naming can't know how old it is.
+  // A router that started after the target was set can't know when that was.
   Front later(2);
   later.weights.models[kModel] = {2};
   later.placement.named(later.weights, kNever, at(0));
   CHECK(std::holds_alternative<PlaceRefusal>(later.ask(kPrompt, 1)));
 }
 
-// The first naming above an engine's version binds it; later ones give it no more time.
-TEST(Placement, EachNamingBindsTheEnginesBelowItFromItsOwnTime) {
+// An engine's time limit starts at the first target above its version; later targets don't extend
+// it.
+TEST(Placement, TheTimeLimitStartsAtTheFirstTargetAboveTheEnginesVersion) {
   for (std::uint64_t version : {1, 2, 3}) {
     Front front(version);
     front.place(kPrompt);
@@ -387,7 +392,7 @@
   }
 }
 
-TEST(Placement, TheTimeOfOldWeightsFollowsTheConfiguredBound) {
+TEST(Placement, TheTimeLimitOfOldWeightsFollowsTheConfiguredBound) {
   Options options;
   options.weightsWithin = seconds(7);
   Front front(1, 4, false, options);
@@ -397,17 +402,17 @@
   front.servesUntil(kNamedAt + 6);
 }
 
-// Another leader alone gives engines no more time; only time without any leader is given back.
-TEST(Placement, TimeWithoutALeaderIsGivenBackToOldWeights) {
+// A change of leader doesn't extend the time limit; only time without any leader is added to it.
+TEST(Placement, TimeWithoutALeaderExtendsTheLimitOfOldWeights) {
   Front front(1);
   front.place(kPrompt);
   front.name(2, kNamedAt);
   front.placement.withoutLeader(seconds(3));
   front.servesUntil(kNamedAt + kOldServe + 3);
-  // A later name gives none to engines that the first one binds.
+  // A later target does not extend the limit that the first one started.
   front.name(3, 12);
   CHECK(std::holds_alternative<PlaceRefusal>(front.ask(kPrompt, kNamedAt + kOldServe + 3)));
-  // What was named before this process began stays as old as can be.
+  // A target set before this process started counts as expired; the outage doesn't extend it.
   Front later(2);
   later.weights.models[kModel] = {2};
   later.placement.named(later.weights, kNever, at(0));
@@ -415,18 +420,18 @@
   CHECK(std::holds_alternative<PlaceRefusal>(later.ask(kPrompt, 1)));
 }
 
-TEST(Placement, ALongQueueEndsTheTimeOfOldWeightsSooner) {
+TEST(Placement, ALongQueueShortensTheTimeLimitOfOldWeights) {
   Front front(1, 1);
   front.place(kPrompt);
   front.name(2, kNamedAt);
   double nearEnd = kNamedAt + kOldServe - 0.5;
   CHECK(std::holds_alternative<Placed>(front.ask(kPrompt, nearEnd)));
-  front.busy({"e1"}, 400000, 4);  // seconds of reading, even for a quick engine
+  front.busy({"e1"}, 400000, 4);  // seconds of prefill, even on a fast engine
   CHECK(std::holds_alternative<PlaceRefusal>(front.ask(kPrompt, nearEnd)));
   CHECK(std::holds_alternative<Placed>(front.ask(kPrompt, kNamedAt)));
 }
 
-TEST(Placement, FullEnginesRefuseWithAForecast) {
+TEST(Placement, FullEnginesRejectWithARetryForecast) {
   Front front(1, 2);
   front.busy({"e1"}, 1600, 16);
   CHECK(front.place(kPrompt).engine == EngineId{"e2"});
@@ -436,14 +441,14 @@
   CHECK(refused.comeBack >= milliseconds(50) && refused.comeBack <= milliseconds(500));
 }
 
-TEST(Placement, TheLastSlotsAreLeftToTheMoreUrgent) {
+TEST(Placement, TheLastSlotsAreReservedForMoreUrgentRequests) {
   Front front(1, 1);
   front.busy({"e1"}, 1500, 15);
   front.urgency = 9;
   CHECK(std::get<PlaceRefusal>(front.ask(kPrompt)).fault == PlaceFault::kFull);
   front.urgency = 0;
   CHECK(front.place(kPrompt).engine == EngineId{"e1"});
-  // Whatever is admitted for a rank is admitted for each more urgent one.
+  // A load that admits one urgency admits every more urgent one.
   for (int running = 0; running <= 16; ++running) {
     Front loaded(1, 1);
     if (running > 0) loaded.busy({"e1"}, 100, running);
@@ -457,7 +462,7 @@
   }
 }
 
-TEST(Placement, WithoutEnginesItSaysWhenToComeBack) {
+TEST(Placement, RejectionsWithoutEnginesNameARetryTime) {
   Front front(1, 2);
   front.tried = {{"e1"}, {"e2"}};
   auto refused = std::get<PlaceRefusal>(front.ask(kPrompt));
@@ -468,7 +473,7 @@
   CHECK(std::get<PlaceRefusal>(front.ask(huge)).comeBack == seconds(5));
 }
 
-TEST(Placement, ReadingSpeedIsLearnedFromFirstEvents) {
+TEST(Placement, PrefillSpeedIsLearnedFromFirstEvents) {
   Front front(1, 1);
   DOUBLES_EQUAL(100, front.placement.speed().of({"e1"}, kService), 1e-9);
   for (int turn = 0; turn < 60; ++turn) {
@@ -476,14 +481,15 @@
     front.place(prompt, 1 + turn);
     front.placement.firstEvent({front.last}, milliseconds(60), at(1.06 + turn), front.outbox);
   }
-  DOUBLES_EQUAL(200, front.placement.speed().of({"e1"}, kService), 10);  // 10 ms are the way there
+  DOUBLES_EQUAL(200, front.placement.speed().of({"e1"}, kService),
+                10);  // 10 ms are network latency
   LONGS_EQUAL(0, front.fetches.live());
 }
 
-// ---- rungs ----
+// ---- fetch rate levels ----
 TEST_GROUP(PlacementRungs){};
 
-TEST(PlacementRungs, DefaultsComeFromTheSmallestLink) {
+TEST(PlacementRungs, DefaultRatesDeriveFromTheSmallestLink) {
   FleetConfig config = makeConfig(true, 80000);
   config.services[{"shelf"}].store->linkMbps = 40000;
   Setup founded;
@@ -498,7 +504,7 @@
   LONGS_EQUAL(2, fetchSetup(own, config).rungs.size());
 }
 
-TEST(PlacementRungs, MovesBetweenZonesCountTwiceAndBetweenRegionsTenTimes) {
+TEST(PlacementRungs, FetchesBetweenZonesCountTwiceAndBetweenRegionsTenTimes) {
   FetchDesk desk{Options{}};
   desk.regions({{{"north"}, "west"}, {{"south"}, "west"}, {{"far"}, "east"}});
   LONGS_EQUAL(1, desk.crossing({"north"}, {"north"}));
@@ -506,11 +512,11 @@
   LONGS_EQUAL(10, desk.crossing({"north"}, {"far"}));
 }
 
-TEST(PlacementRungs, RungsFollowOneCommonLevelOverTwoFrontsWithEqualNotes) {
+TEST(PlacementRungs, RoutersWithEqualUsageReportsChooseTheSameRates) {
   Front one(1, 6, true), two(2, 6, true);
   std::vector<Front*> fronts{&one, &two};
   for (Front* front : fronts) {
-    // Few moves fit a link, so that a level has to be found.
+    // Few fetches fit a link, so that the plan has to limit them.
     front->config = makeConfig(true, 800);
     front->route.target = seconds(3);
     front->keeps(storeId(), std::span(kPrompt).first(1));
@@ -535,7 +541,7 @@
     CHECK(groups[index].link == others[index].link);
     DOUBLES_EQUAL(groups[index].level, others[index].level, 1e-12);
   }
-  // New moves of both take the highest rung that is worth no more than that level.
+  // New fetches of both get the highest rate whose value doesn't exceed the common level.
   Fetch fetch;
   fetch.want.stream = {1000};
   fetch.want.links = {FetchDesk::linkOf(storeId()), FetchDesk::linkOf({"e1"})};
@@ -549,9 +555,9 @@
   if (rung) CHECK_EQUAL(rungUnder(one.placement.plan().rungs, fetch.want, groups[0].level), *rung);
 }
 
-TEST(PlacementRungs, MovesAreBookedUntilNotEvenTheLowestRungFits) {
+TEST(PlacementRungs, FetchesAreAdmittedWhileTheLowestRateFits) {
   Front front(1, 2, true);
-  front.config = makeConfig(true, 800);  // 100 MB a second, of which 75 are planned with
+  front.config = makeConfig(true, 800);  // 100 MB per second, of which 75 may be planned
   front.placement.tick(front.config, at(0.5), front.outbox);
   int booked = 0;
   for (std::uint64_t stream = 1; stream <= 300; ++stream) {
@@ -560,10 +566,10 @@
     fetch.want.links = {FetchDesk::linkOf(storeId()), FetchDesk::linkOf({"e1"})};
     fetch.className = "usual";
     fetch.want.tenantClass = front.placement.plan().classes.at("usual");
-    fetch.tenant = {"one"};  // its top is the lowest rung, 100 / 256 MB a second
+    fetch.tenant = {"one"};  // limited to the lowest rate, 100 / 256 MB per second
     booked += front.fetches.join(fetch, front.placement.plan(), at(1), front.outbox) ? 1 : 0;
   }
-  LONGS_EQUAL(192, booked);  // of 75 MB a second
+  LONGS_EQUAL(192, booked);  // fill 75 MB per second
   front.fetches.drop({7});
   Fetch again;
   again.want.stream = {400};
@@ -572,7 +578,7 @@
   CHECK(front.fetches.join(again, front.placement.plan(), at(1), front.outbox).has_value());
 }
 
-TEST(PlacementRungs, NothingIsCollectedOverALinkThatOthersFill) {
+TEST(PlacementRungs, NoFetchUsesALinkThatOtherRoutersFill) {
   for (double others : {0.0, 8000.0}) {
     Front front(1, 4, true);
     front.keeps(storeId(), std::span(kPrompt).first(1));
