--- a/tests/prompts_placement_test.cc
+++ b/tests/prompts_placement_test.cc
@@ -481,8 +481,7 @@
     front.place(prompt, 1 + turn);
     front.placement.firstEvent({front.last}, milliseconds(60), at(1.06 + turn), front.outbox);
   }
-  DOUBLES_EQUAL(200, front.placement.speed().of({"e1"}, kService),
-                10);  // 10 ms are network latency
+  DOUBLES_EQUAL(200, front.placement.speed().of({"e1"}, kService), 10);  // 10 ms are latency
   LONGS_EQUAL(0, front.fetches.live());
 }
 
