--- a/src/place/place.h
+++ b/src/place/place.h
@@ -18,7 +18,7 @@
 };
 
 /// Parses a file's text and solves it; an invalid file is an error that names the field.
-/// Example: `solvePlacement(R"({"zones":[...],"engines":[...],"constraints":[...]})")`.
+/// Example: `solvePlacement(R"({"districts":[...],"engines":[...],"constraints":[...]})")`.
 absl::StatusOr<PlacementSolution> solvePlacement(std::string_view text);
 
 }  // namespace peppergate
