--- a/tests/fuzz/main.cc
+++ b/tests/fuzz/main.cc
@@ -1,5 +1,5 @@
-// Runs the fuzz targets over their corpus and over mutations of it; the same seed and count give
-// the same inputs on every machine.
+// Runs the fuzz targets on their corpus and on mutations of it. The same seed and count produce the
+// same inputs on every machine.
 #include <signal.h>
 #include <sys/time.h>
 #include <unistd.h>
@@ -18,7 +18,7 @@
 
 #if defined(__SANITIZE_ADDRESS__)
 #include <sanitizer/common_interface_defs.h>
-// g++ comes without the header of these, though its sanitizer has them.
+// g++ ships without the header that declares these, although its sanitizer runtime defines them.
 extern "C" {
 std::size_t __sanitizer_get_current_allocated_bytes();
 int __sanitizer_install_malloc_and_free_hooks(void (*onMalloc)(const volatile void*, std::size_t),
@@ -33,24 +33,24 @@
 namespace options = boost::program_options;
 
 constexpr std::size_t kMostAdded = 4000;          // inputs added to a corpus in one run
-constexpr std::size_t kLargestAdded = 16U << 10;  // bytes of one that is added
+constexpr std::size_t kLargestAdded = 16U << 10;  // bytes; longer inputs aren't added
 constexpr std::size_t kLargestAllocation = 64U << 20;
-constexpr std::size_t kMostAllocated = 256U << 20;  // by one run, in bytes
+constexpr std::size_t kMostAllocated = 256U << 20;  // bytes that one run may allocate
 constexpr time_t kSecondsForOneRun = 10;
 
 struct Options {
   fs::path corpus, failed;
   std::string target, input;
   std::uint64_t seed = 1, runs = 1000;
-  double seconds = 0;  // 0: `runs` count
+  double seconds = 0;  // per target; 0: `runs` decides
 };
 
-// ---- what a failing run leaves behind ----
+// ---- saving the failing input ----
 
 std::string currentInput;
 std::string failedPath;
 
-/// Called by a signal or by a sanitizer: writes the input that was under way.
+/// Called by a signal handler or a sanitizer: saves the input of the current run.
 void keepInput() {
   static volatile sig_atomic_t kept = 0;
   if (kept != 0 || failedPath.empty()) return;
@@ -61,7 +61,7 @@
 
 void onSignal(int signal) {
   keepInput();
-  if (signal == SIGVTALRM) std::cerr << "a run took more than its time\n";
+  if (signal == SIGVTALRM) std::cerr << "a run exceeded its time limit\n";
   ::signal(signal, SIG_DFL);
   raise(signal == SIGVTALRM ? SIGABRT : signal);
 }
@@ -100,7 +100,7 @@
 #endif
 }
 
-/// One run, in processor time of this process.
+/// Runs one input, with a limit on the process's CPU time.
 std::uint64_t runOnce(const Target& target, std::string input) {
   currentInput = std::move(input);
   itimerval limit{{0, 0}, {kSecondsForOneRun, 0}};
@@ -130,7 +130,8 @@
   return corpus;
 }
 
-/// Runs the corpus as it is, then mutations of it and of what they led to. False: no corpus.
+/// Runs the corpus unchanged, then mutations of it and of inputs with new outcomes. Returns false
+/// if there is no corpus.
 bool runTarget(const Target& target, const Options& chosen) {
   auto corpus = readCorpus(chosen.corpus / target.name);
   if (corpus.empty()) {
@@ -185,7 +186,8 @@
   add("input", options::value(&chosen.input), "one file to run, without mutations");
   add("seed", options::value(&chosen.seed)->default_value(chosen.seed), "seed of the mutations");
   add("runs", options::value(&chosen.runs)->default_value(chosen.runs), "mutations per target");
-  add("seconds", options::value(&chosen.seconds)->default_value(0), "time per target, not a count");
+  add("seconds", options::value(&chosen.seconds)->default_value(0),
+      "time per target, instead of a count");
   options::variables_map given;
   try {
     options::store(options::parse_command_line(count, words, known), given);
--- a/tests/fuzz/mutator.cc
+++ b/tests/fuzz/mutator.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMostSteps = 5;
 constexpr std::size_t kMostRandomBytes = 16;
-/// One in so many repetitions is a long one, for recursion and quadratic time.
+/// One in this many repetitions is long, to find deep recursion and quadratic run time.
 constexpr std::uint64_t kLongRepetitionOneIn = 16;
 constexpr std::size_t kShortRepetition = 8, kLongRepetition = 20'000;
 
@@ -51,7 +51,7 @@
 
 std::size_t Mutator::lengthFrom(const std::string& input, std::size_t start) {
   std::size_t most = input.size() - start;
-  // Short ranges far more often than long ones.
+  // Most ranges are short; one in four may reach up to the end of the input.
   std::size_t bound = random_.below(4) == 0 ? most : std::min<std::size_t>(most, 24);
   return random_.below(bound + 1);
 }
--- a/tests/fuzz/mutator.h
+++ b/tests/fuzz/mutator.h
@@ -10,17 +10,17 @@
 
 namespace peppergate::fuzz {
 
-/// The longest input that a mutation makes, in bytes.
+/// Upper bound of a mutated input's size, in bytes.
 inline constexpr std::size_t kLongestInput = 512U << 10;
 
-/// Makes inputs out of a corpus. Not for use by several threads.
+/// Creates inputs by mutating a corpus. Not thread-safe.
 class Mutator {
  public:
-  /// `dictionary`: words that are inserted whole; it must outlive the mutator.
+  /// `dictionary` holds words that are inserted unchanged; it must outlive the mutator.
   Mutator(std::uint64_t seed, std::span<const std::string_view> dictionary)
       : random_(seed), dictionary_(dictionary) {}
 
-  /// A mutation of a random entry of `corpus`; of an empty corpus, random bytes.
+  /// Returns a mutation of a random entry of `corpus`, or random bytes if `corpus` is empty.
   std::string next(std::span<const std::string> corpus);
 
  private:
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -116,7 +116,7 @@
 
 // FNV-1a.
 constexpr std::uint64_t kHashStart = 0xcbf29ce484222325ULL, kHashFactor = 0x100000001b3ULL;
-constexpr std::size_t kMessageRead = 60;  // bytes of a message that count
+constexpr std::size_t kMessageRead = 60;  // prefix of a message that is hashed, in bytes
 
 }  // namespace
 
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,8 +1,8 @@
 #pragma once
-// The parsers that read bytes from outside the process, each as a function of one input.
+// Fuzz targets: the parsers of bytes from outside the process, each as a function of one input.
 //
-// A target takes any input. It aborts with `require` when a property is broken, and fails as well
-// by a crash, an exception, a run over the time limit or an allocation out of proportion.
+// A target accepts any input. It aborts through `require` when a property is violated. A crash, an
+// exception, a run over the time limit and an excessive allocation are failures as well.
 #include <cstdint>
 #include <initializer_list>
 #include <span>
@@ -14,8 +14,8 @@
 /// One parser under test.
 struct Target {
   std::string_view name;  // also its folder under tests/corpus
-  /// Reads one input. The result sums up what became of it (a hash of outcomes, not of bytes): an
-  /// input with a result not seen before is mutated further.
+  /// Parses one input. The result is a hash of the parser's outcomes, not of the input's bytes; an
+  /// input with a result that wasn't seen before is added to the corpus and mutated further.
   std::uint64_t (*run)(std::string_view input);
   std::span<const std::string_view> dictionary;
 };
@@ -23,12 +23,12 @@
 /// All targets, in a fixed order.
 std::span<const Target> allTargets();
 
-/// Aborts the process, naming the broken property, unless `holds`.
+/// Aborts the process with the name of the violated property unless `holds`.
 void require(bool holds, std::string_view property);
 
-/// Sums up outcomes; the order counts.
+/// Hashes outcomes; their order is significant.
 std::uint64_t outcomeOf(std::initializer_list<std::uint64_t> outcomes);
-/// Sums up a message that names what was wrong; its digits don't count.
+/// Hashes an error message, without its digits.
 std::uint64_t outcomeOfText(std::string_view message);
 
 // HTTP: targets_http.cc
--- a/tests/fuzz/targets_documents.cc
+++ b/tests/fuzz/targets_documents.cc
@@ -1,4 +1,5 @@
-// JSON from operators, engines and the platform, the settings file, and files on disk.
+// Fuzz targets for JSON from operators, engines and the platform, the settings file, and state
+// files.
 #include "config/fleet_config.h"
 #include "core/control_state.h"
 #include "core/core_node.h"
@@ -27,31 +28,32 @@
   "tenants":[{"name":"red","keys":["k1"]}]})json";
 constexpr std::uint64_t kBaseVersion = 5;
 
-/// A founded state whose configuration is `kBaseConfig`.
+/// Returns a newly founded state with the configuration `kBaseConfig`.
 const ControlState& stateWithConfig() {
   static const ControlState kState = [] {
     ControlState state = ControlState::founded(Epoch{1});
     std::string change = R"({"kind":"replace","basedOnVersion":0,"config":)";
     change.append(kBaseConfig).append("}");
     ChangeReply answer = state.apply(change, "base", Epoch{1}, Options{});
-    require(answer.outcome == ChangeOutcome::kDone, "the base configuration is taken");
+    require(answer.outcome == ChangeOutcome::kDone, "the base configuration is accepted");
     return state;
   }();
   return kState;
 }
 
-/// Applies a change; what was taken must be read back from the state's own text as it was.
+/// Applies a change. The serialized state must parse again and serialize to the same text; a
+/// rejected change must leave the state as it was.
 std::uint64_t applyChange(ControlState state, const std::string& change) {
   std::string before = state.text();
   ChangeReply answer = state.apply(change, "c1", Epoch{2}, Options{});
   auto outcome = static_cast<std::uint64_t>(answer.outcome);
   if (answer.outcome != ChangeOutcome::kDone) {
-    require(state.text() == before, "a change that was not taken changes nothing");
+    require(state.text() == before, "a rejected change leaves the state as it was");
     return outcomeOf({outcome, outcomeOfText(answer.field)});
   }
   auto back = ControlState::parse(state.text());
   require(back.ok(), "a state can be read back");
-  require(back->text() == state.text(), "a state is read back as it was written");
+  require(back->text() == state.text(), "a state that is read back has the same text");
   require(readSetup(state.setupText()).ok(), "the setup section can be read");
   require(readKeys(state.keysText()).ok(), "the keys section can be read");
   require(readWeights(state.weightsText()).ok(), "the weights section can be read");
@@ -66,15 +68,15 @@
   return outcomeOf({2, applyChange(stateWithConfig(), call->asked.body)});
 }
 
-/// Names go to the product's and back without a loss.
+/// Renaming the platform's field names to internal ones and back must restore the document.
 void requireNamesSurvive(const Json& document) {
   using platform::Way;
   Json config = platform::renameConfig(document, Way::kToOwn);
   require(platform::renameConfig(config, Way::kToPlatform) == document,
-          "a configuration's names survive the way there and back");
+          "a configuration's names survive a round trip");
   Json amendment = platform::renameAmendment(document, Way::kToOwn);
   require(platform::renameAmendment(amendment, Way::kToPlatform) == document,
-          "an amendment's names survive the way there and back");
+          "an amendment's names survive a round trip");
 }
 
 }  // namespace
@@ -100,7 +102,7 @@
   PartsPolled polled = dialect().readPoll({2}, answer);
   PartsListed listed = dialect().readParts({3}, answer);
   OrderAnswered order = dialect().readOrder({4}, answer);
-  require(order.outcome == OrderOutcome::kHolds, "an order's outcome is its status alone");
+  require(order.outcome == OrderOutcome::kHolds, "an order's outcome depends on the status alone");
   auto status = [](int value) { return static_cast<std::uint64_t>(value + 1000); };
   return outcomeOf({status(report.status), report.report.models.size() > 0, status(polled.status),
                     polled.changes.size() > 0, polled.lost, status(listed.status),
@@ -120,8 +122,8 @@
     Roster whole{listed.engines, {}};
     Roster back;
     require(readRoster(wholeText(whole), {1}, back) == RosterRead::kTaken,
-            "a list that was taken can be told to other daemons");
-    require(sameEngines(back.engines, whole.engines), "a list is told as it was taken");
+            "an accepted list can be serialized for other daemons");
+    require(sameEngines(back.engines, whole.engines), "a serialized list is read back unchanged");
   }
   return outcomeOf({static_cast<std::uint64_t>(listed.status + 1000), listed.engines.size() > 0,
                     !listed.nextPage.empty(), static_cast<std::uint64_t>(read),
@@ -140,7 +142,7 @@
 
 namespace {
 
-/// What a core machine makes of its files, whatever they hold.
+/// Starts a core node from files with the given content and hashes the number of its messages.
 std::uint64_t startWith(const std::string& content) {
   std::uint64_t outcome = 0;
   for (const char* name : {"identity", "voter.00000000000000000001",
--- a/tests/fuzz/targets_frames.cc
+++ b/tests/fuzz/targets_frames.cc
@@ -1,4 +1,4 @@
-// Frames between members: their heads, sums and Avro bodies.
+// Fuzz targets for frames between members: headers, checksums and Avro bodies.
 #include "tests/fuzz/targets.h"
 #include "wire/frame.h"
 
@@ -11,18 +11,18 @@
   return std::string_view(frame).substr(kFrameHeadSize);
 }
 
-/// A body that was taken must be written and read back as the same message.
+/// A body that decodes must encode and decode again to the same message.
 std::uint64_t decode(std::uint16_t kind, std::span<const char> body) {
   auto message = decodeBody(kind, body);
   if (!message.ok()) return outcomeOf({1, kind});
   require(message->index() == kind, "a body is decoded as its kind");
   std::string frame = encodeFrame(kMark, *message);
   FrameHead head = readFrameHead(kMark, frame);
-  require(head.fault == FrameFault::kNone && head.kind == kind, "a written head can be read");
-  require(bodyIsWhole(head, bodyOf(frame)), "a written body passes its sum");
+  require(head.fault == FrameFault::kNone && head.kind == kind, "an encoded header can be read");
+  require(bodyIsWhole(head, bodyOf(frame)), "an encoded body passes its checksum");
   auto back = decodeBody(kind, bodyOf(frame));
-  require(back.ok(), "a written body can be read");
-  require(encodeFrame(kMark, *back) == frame, "a message is read back as it was written");
+  require(back.ok(), "an encoded body can be decoded");
+  require(encodeFrame(kMark, *back) == frame, "a message is the same after a round trip");
   return outcomeOf({2, kind});
 }
 
@@ -30,8 +30,8 @@
 
 namespace {
 
-/// The input with the present version of the wire in its head, so that files of an earlier version
-/// still get past it.
+/// Returns the input with the current wire version in its header, so that corpus files of an
+/// earlier version still pass the version check.
 std::string withPresentVersion(std::string_view input) {
   constexpr std::size_t kVersionPlace = 4;
   std::string frame(input);
--- a/tests/fuzz/targets_http.cc
+++ b/tests/fuzz/targets_http.cc
@@ -1,4 +1,5 @@
-// HTTP/1.x heads, bodies and event streams, each read whole and in pieces: the two must agree.
+// Fuzz targets for HTTP/1.x heads, bodies and event streams. Each input is read whole and in
+// pieces, and both must give the same result.
 #include <algorithm>
 
 #include "io/http_answer.h"
@@ -19,13 +20,13 @@
 /// Inputs up to this size are also read byte by byte.
 constexpr std::size_t kByteByByte = 2048;
 
-/// The sizes of pieces, in bytes, that an input is split into; 0: all in one.
+/// Returns the piece sizes, in bytes, that an input of this size is split into, one after another.
 std::vector<std::size_t> pieceSizes(std::size_t inputSize) {
   if (inputSize <= kByteByByte) return {1, 2, 7};
   return {inputSize / 2, inputSize / 3 + 1, 4096};
 }
 
-/// Calls with each piece of an input in turn.
+/// Passes each piece of the input to a callback, in order.
 template <class Take>
 void eachPiece(std::string_view input, std::size_t pieceSize, Take take) {
   while (!input.empty()) {
@@ -34,7 +35,7 @@
   }
 }
 
-// ---- a request's head ----
+// ---- request heads ----
 
 struct FoundHead {
   HeadScanner::Found found = HeadScanner::Found::kPartial;
@@ -53,7 +54,7 @@
   return result;
 }
 
-/// The body behind a head; false if it isn't whole.
+/// Reads the body after a request head; returns false if it is incomplete.
 bool readBody(const HttpHead& head, std::string_view bytes, std::string& body) {
   if (head.framing == BodyFraming::kNone) return true;
   if (head.framing == BodyFraming::kChunked) {
@@ -70,7 +71,7 @@
       head.headers, [name](const auto& header) { return sameToken(header.first, name); }));
 }
 
-/// What an engine gets must be exactly one request, the one that the client sent.
+/// The bytes sent to an engine must be exactly one request, equal to the client's.
 void requireOneRequest(const OpenAttempt& attempt) {
   const WireRequest& wire = *attempt.wire;
   std::string text = dialect().attemptText(attempt);
@@ -83,11 +84,11 @@
   require(head.target == wire.target, "the target is unchanged");
   require(head.framing != BodyFraming::kChunked, "the body is framed by its length");
   require(head.length.value_or(0) == wire.body.size(), "the length is the body's");
-  require(text.size() == scanner.size() + wire.body.size(), "nothing stands behind the body");
+  require(text.size() == scanner.size() + wire.body.size(), "nothing follows the body");
   require(text.ends_with(wire.body), "the body is unchanged");
-  require(countOf(head, platform::kRequestId) == 1, "the request's id stands once");
-  require(countOf(head, platform::kKey) == 0, "the key isn't passed on");
-  require(countOf(head, platform::kTenant) == 1, "the tenant is the product's");
+  require(countOf(head, platform::kRequestId) == 1, "there is exactly one request id");
+  require(countOf(head, platform::kKey) == 0, "the client's key isn't forwarded");
+  require(countOf(head, platform::kTenant) == 1, "there is exactly one tenant header");
 }
 
 }  // namespace
@@ -95,7 +96,7 @@
 std::uint64_t runRequestHead(std::string_view input) {
   FoundHead whole = scanInPieces(input, std::max<std::size_t>(input.size(), 1));
   for (std::size_t size : pieceSizes(input.size()))
-    require(scanInPieces(input, size) == whole, "a head in pieces is found as one in whole");
+    require(scanInPieces(input, size) == whole, "a head in pieces is found as in one piece");
   if (whole.found != HeadScanner::Found::kWhole)
     return outcomeOf({1, static_cast<std::uint64_t>(whole.found)});
   HttpHead head;
@@ -110,7 +111,7 @@
   int status = dialect().readRequest(wire, arrived);
   auto framing = static_cast<std::uint64_t>(head.framing);
   if (status != 0) return outcomeOf({4, framing, static_cast<std::uint64_t>(status)});
-  // A request without a host has no route, so no engine gets it.
+  // A request without a host matches no route, so it is sent to no engine.
   if (arrived.host.empty()) return outcomeOf({6, framing});
   OpenAttempt attempt;
   attempt.wire = wire;
@@ -124,7 +125,7 @@
                     arrived.timeLeft.has_value(), !arrived.key.empty(), arrived.tokensIn > 0});
 }
 
-// ---- an answer ----
+// ---- responses ----
 
 namespace {
 
@@ -134,7 +135,7 @@
   std::size_t headers = 0;
   BodyFraming framing = BodyFraming::kNone;
   std::string body;
-  std::size_t behind = 0;  // bytes behind a whole answer
+  std::size_t behind = 0;  // bytes after the end of the response
   bool keeps = false;
   bool operator==(const ReadAnswer&) const = default;
 };
@@ -159,7 +160,7 @@
       if (step == Step::kWhole) read.behind = piece.size();
     }
   });
-  // The end of a body may be known with its last byte, before anything further comes.
+  // The reader may know the end of a body with its last byte, without any further input.
   std::string_view nothing;
   std::string body;
   if (read.last == Step::kMore && reader.next(nothing, body) == Step::kWhole)
@@ -175,12 +176,13 @@
   for (bool toHead : {false, true}) {
     ReadAnswer whole = readAnswer(input, toHead, std::max<std::size_t>(input.size(), 1));
     for (std::size_t size : pieceSizes(input.size()))
-      require(readAnswer(input, toHead, size) == whole, "an answer in pieces reads as in whole");
+      require(readAnswer(input, toHead, size) == whole,
+              "a response in pieces reads as in one piece");
     bool isWhole = whole.last == AnswerReader::Step::kWhole;
     require(!isWhole || whole.framing != BodyFraming::kUntilClose,
-            "an answer without a length is never whole by itself");
+            "a response without a length is complete only when the connection closes");
     require(whole.framing != BodyFraming::kUntilClose || !whole.keeps,
-            "a connection without a length is never kept");
+            "a connection is never reused after a response without a length");
     outcome = outcomeOf({outcome, static_cast<std::uint64_t>(whole.last),
                          static_cast<std::uint64_t>(whole.framing), whole.keeps,
                          static_cast<std::uint64_t>(whole.status / 100), !whole.body.empty()});
@@ -188,7 +190,7 @@
   return outcome;
 }
 
-// ---- chunks ----
+// ---- chunked bodies ----
 
 namespace {
 
@@ -221,16 +223,16 @@
 std::uint64_t runChunks(std::string_view input) {
   ReadChunks whole = readChunks(input, std::max<std::size_t>(input.size(), 1));
   for (std::size_t size : pieceSizes(input.size()))
-    require(readChunks(input, size) == whole, "chunks in pieces read as in whole");
+    require(readChunks(input, size) == whole, "chunks in pieces read as in one piece");
   require(whole.plain.size() <= input.size(), "a chunked body is no longer than its chunks");
   ReadChunks back = readChunks(chunked(input), 4096);
   require(back.found == ChunkReader::Found::kDone && back.plain == input,
-          "what was written in chunks is read back");
+          "a body written in chunks is read back unchanged");
   return outcomeOf({static_cast<std::uint64_t>(whole.found), whole.plain.size() > 0,
                     whole.plain.size() > 16, whole.behind > 0});
 }
 
-// ---- events of a stream ----
+// ---- event streams ----
 
 namespace {
 
@@ -259,8 +261,8 @@
 std::uint64_t runEvents(std::string_view input) {
   ReadEvents whole = readEvents(input, std::max<std::size_t>(input.size(), 1));
   for (std::size_t size : pieceSizes(input.size()))
-    require(readEvents(input, size) == whole, "events in pieces read as in whole");
-  require(whole.whole + whole.rest == input, "no byte of a stream is lost or added");
+    require(readEvents(input, size) == whole, "events in pieces read as in one piece");
+  require(whole.whole + whole.rest == input, "no byte of the stream is lost or added");
   return outcomeOf({whole.marks.firstEvent.has_value(), whole.marks.lastEvent.has_value(),
                     whole.marks.newVersion.has_value(),
                     whole.marks.firstEvent == whole.marks.lastEvent, whole.whole.empty(),
@@ -280,7 +282,7 @@
   };
   std::string whole = read(std::max<std::size_t>(input.size(), 1));
   for (std::size_t size : pieceSizes(input.size()))
-    require(read(size) == whole, "older events in pieces read as in whole");
+    require(read(size) == whole, "events of the older reader in pieces read as in one piece");
   return outcomeOf({whole.empty(), whole.size() > 3, whole.size() > 16});
 }
 
