--- a/scripts/soak_settings.py
+++ b/scripts/soak_settings.py
@@ -1,4 +1,4 @@
-"""What scripts/soak tells its processes: settings files, and the first configuration."""
+"""The settings files and the first configuration of the processes of scripts/soak."""
 from soak_standins import MODEL, SERVICE
 
 BOUNDS = """roster_lag_s = 3
@@ -27,12 +27,12 @@
 
 
 def settings_text(daemon, fleet):
-    """The settings file of one daemon, as of now."""
+    """Returns the text of a daemon's settings file."""
     seeds = ",".join('"%s:8200"' % core.ip for core in fleet.cores[:3])
-    serves = "counter" if daemon.router else "control"
+    serves = "counter" if daemon.is_router else "control"
     listen = ('front_desk = "%s:8100"\nreadiness = "%s:8101"' % (daemon.ip, daemon.ip)
-              if daemon.router else 'control = "%s:8200"' % daemon.ip)
-    data = "" if daemon.router else 'data_dir = "%s"\n' % daemon.data
+              if daemon.is_router else 'control = "%s:8200"' % daemon.ip)
+    data = "" if daemon.is_router else 'data_dir = "%s"\n' % daemon.data_folder
     return (
         'node_name = "%s"\nserves = ["%s"]\nip_addr = "%s"\nzone = "z"\nregion = "r"\n'
         'inner_ports = [7000,7015]\nseed_nodes = [%s]\nfirst_start = %s\ncounted = %s\n%s'
@@ -40,12 +40,13 @@
         '"tenants"]\n[zones]\nz = "r"\n[listen]\n%s\n[limits]\nmemory_mb = 260\nfile_handles = 4100\n'
         '[tolerate]\nmachines = 1\nzones = 0\nregions = 0\n[bounds]\n%s[cloud_api]\naddress = "%s"\n'
         'rate_per_s = 50.0\nlag_ms = 100\n') % (
-            daemon.name, serves, daemon.ip, seeds, "true" if daemon.first else "false",
-            "false" if daemon.router else "true", data, listen, BOUNDS, fleet.list.address)
+            daemon.name, serves, daemon.ip, seeds, "true" if daemon.first_start else "false",
+            "false" if daemon.is_router else "true", data, listen, BOUNDS,
+            fleet.platform_list.address)
 
 
 def first_config(edition):
-    """One route of each kind to the model engines, one tenant, the usual limits."""
+    """Returns a configuration with one route of each kind, one tenant and typical limits."""
     kinds = {"safe": "safe", "once": "unsafe", "stream": "streamed"}
     routes = [{"name": name, "host": "soak.example", "path_prefix": "/%s/" % name, "kind": kind,
                "deadline_ms": 5000, "target_ms": 400, "urgency": 1, "line": SERVICE, "tries": 3,
--- a/scripts/soak_standins.py
+++ b/scripts/soak_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for scripts/soak: HTTP/1.1 on asyncio, model engines with weights, and the platform's list."""
+"""Stand-ins for scripts/soak: an HTTP/1.1 server, model engines and the platform's engine list."""
 import asyncio
 import json
 import random
@@ -6,18 +6,18 @@
 
 MODEL = "soakmodel"
 SERVICE = "model"
-LOAD_SECONDS = 0.5
+WEIGHTS_LOAD_SECONDS = 0.5
 
 
-class Broken(Exception):
-    """The connection ended, or what came is not HTTP."""
+class ConnectionBroken(Exception):
+    """The connection ended, or the data received is not HTTP."""
 
 
 async def read_message(reader):
-    """One HTTP message: its first line split in three, its headers in lower case, its body."""
+    """Reads an HTTP message: the three parts of its start line, lower-case headers, the body."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
-    first = lines[0].split(" ", 2)
+    start_line = lines[0].split(" ", 2)
     headers = {}
     for line in lines[1:]:
         name, _, value = line.partition(":")
@@ -29,18 +29,18 @@
             size = int((await reader.readuntil(b"\r\n")).strip(), 16)
             body += (await reader.readexactly(size + 2))[:-2]
             if size == 0:
-                return first, headers, body
-    return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
+                return start_line, headers, body
+    return start_line, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def answer_text(status, body=b"", headers=()):
+def response_bytes(status, body=b"", headers=()):
     lines = ["HTTP/1.1 %d Any" % status, "Content-Length: %d" % len(body)]
     lines += ["%s: %s" % pair for pair in headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 async def call(address, method, path, body=None, headers=(), timeout=2.0):
-    """One call on a connection of its own: status and body; status 0 if there was no answer."""
+    """Makes a call on a new connection; returns status and body, status 0 without a response."""
     host, port = address.split(":")
     payload = b"" if body is None else json.dumps(body).encode()
     lines = ["%s %s HTTP/1.1" % (method, path), "Host: " + address, "Connection: close",
@@ -51,8 +51,8 @@
         async with asyncio.timeout(timeout):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(("\r\n".join(lines) + "\r\n\r\n").encode() + payload)
-            first, _, answer = await read_message(reader)
-            return int(first[1]), answer
+            start_line, _, response_body = await read_message(reader)
+            return int(start_line[1]), response_body
     except (OSError, EOFError, ValueError, TimeoutError, asyncio.LimitOverrunError):
         return 0, b""
     finally:
@@ -61,7 +61,7 @@
 
 
 class Server:
-    """Accepts connections until it is stopped; then all of them end at once."""
+    """Accepts connections until it is stopped; stopping aborts all of them."""
 
     def __init__(self, host, port):
         self.host, self.port = host, port
@@ -81,8 +81,8 @@
         self.writers.add(writer)
         try:
             while True:
-                first, headers, body = await read_message(reader)
-                if not await self.answer(first, headers, body, writer):
+                start_line, headers, body = await read_message(reader)
+                if not await self.respond(start_line, headers, body, writer):
                     break
                 await writer.drain()
         except (OSError, EOFError, ValueError, asyncio.LimitOverrunError):
@@ -93,121 +93,121 @@
 
 
 class Engine(Server):
-    """A model engine: it runs requests, loads weights as ordered, and writes down all that it ran."""
+    """A model engine: runs requests, loads weights on order, and reports runs to the checker."""
 
     def __init__(self, fleet, number, host, port):
         super().__init__(host, port)
-        self.fleet, self.number, self.life = fleet, number, 0
-        self.weights, self.loading_until, self.coming = 1, 0.0, 1
-        self.orders, self.draining, self.up = 0, False, False
+        self.fleet, self.number, self.incarnation = fleet, number, 0
+        self.weights, self.loaded_at, self.target_weights = 1, 0.0, 1
+        self.order_count, self.draining, self.is_up = 0, False, False
         self.random = random.Random(fleet.seed * 1000 + number)
 
     @property
     def id(self):
-        return "i-%d-%d" % (self.number, self.life)
+        return "i-%d-%d" % (self.number, self.incarnation)
 
-    async def begin(self):
-        """A new life with the weights of the one before; nothing if it lives."""
-        if self.up:
+    async def start_process(self):
+        """Starts a new process with the previous one's weights, unless the engine is up."""
+        if self.is_up:
             return
-        self.life += 1
-        self.orders, self.draining, self.up = 0, False, True
-        self.coming, self.loading_until = self.weights, 0.0
+        self.incarnation += 1
+        self.order_count, self.draining, self.is_up = 0, False, True
+        self.target_weights, self.loaded_at = self.weights, 0.0
         await self.start()
 
     def crash(self):
-        self.up = False
+        self.is_up = False
         self.stop()
 
     def loading(self):
-        if self.coming != self.weights and time.monotonic() >= self.loading_until:
-            self.weights = self.coming
-        return self.coming != self.weights
+        if self.target_weights != self.weights and time.monotonic() >= self.loaded_at:
+            self.weights = self.target_weights
+        return self.target_weights != self.weights
 
-    def listed(self):
+    def list_entry(self):
         return {"id": self.id, "line": SERVICE, "address": self.address, "zone": "z", "edition": "v1",
                 "berths": 64, "state": "draining" if self.draining else "accepting",
                 "warmup_left_ms": 0, "models": [{"name": MODEL, "edition": self.weights}]}
 
-    async def answer(self, first, headers, body, writer):
-        path = first[1].split("?")[0]
+    async def respond(self, start_line, headers, body, writer):
+        path = start_line[1].split("?")[0]
         if path == "/peppergate/report":
             busy = self.loading()
             report = {"stage": "whole_route", "models": [{"name": MODEL, "edition": self.weights}],
-                      "busy": busy, "call_count": self.orders, "queued": 0, "in_transit": 0,
+                      "busy": busy, "call_count": self.order_count, "queued": 0, "in_transit": 0,
                       "kv_in_use": 0, "kv_capacity": 100000, "handles": 0}
-            writer.write(answer_text(200, json.dumps(report).encode()))
+            writer.write(response_bytes(200, json.dumps(report).encode()))
         elif path == "/peppergate/order":
-            writer.write(answer_text(self.order(json.loads(body))))
+            writer.write(response_bytes(self.handle_order(json.loads(body))))
         elif path == "/peppergate/kv-events":
             await asyncio.sleep(0.3)
-            events = {"epoch": self.life, "next_token": 0, "lost": False, "events": []}
-            writer.write(answer_text(200, json.dumps(events).encode()))
+            events = {"epoch": self.incarnation, "next_token": 0, "lost": False, "events": []}
+            writer.write(response_bytes(200, json.dumps(events).encode()))
         elif path == "/peppergate/kv-list":
-            held = {"epoch": self.life, "next_token": 0, "held": []}
-            writer.write(answer_text(200, json.dumps(held).encode()))
+            held = {"epoch": self.incarnation, "next_token": 0, "held": []}
+            writer.write(response_bytes(200, json.dumps(held).encode()))
         elif path == "/health":
-            writer.write(answer_text(200, b"", [("X-Delivered-By", self.id)]))
+            writer.write(response_bytes(200, b"", [("X-Delivered-By", self.id)]))
         else:
-            return await self.run(first, headers, body, writer)
+            return await self.handle_request(start_line, headers, body, writer)
         return True
 
-    def order(self, body):
+    def handle_order(self, body):
         if self.loading():
             return 409
         if body["edition"] <= self.weights:
             return 200
-        self.orders += 1
-        self.coming = body["edition"]
-        self.loading_until = time.monotonic() + LOAD_SECONDS
+        self.order_count += 1
+        self.target_weights = body["edition"]
+        self.loaded_at = time.monotonic() + WEIGHTS_LOAD_SECONDS
         return 202
 
     def refuse(self, status, attempt, writer):
-        writer.write(answer_text(status, b"", [
+        writer.write(response_bytes(status, b"", [
             ("X-Attempt-Id", attempt), ("X-Not-Delivered", "yes"),
             ("X-Weight-Versions", str(self.weights))]))
         return True
 
-    async def run(self, first, headers, body, writer):
+    async def handle_request(self, start_line, headers, body, writer):
         attempt = headers.get("x-attempt-id", "")
-        judge = self.fleet.judge
-        judge.arrived(attempt)
+        checker = self.fleet.checker
+        checker.record_arrival(attempt)
         if headers.get("x-deliver-to") != self.id:
             return self.refuse(421, attempt, writer)
         if self.loading():
             return self.refuse(503, attempt, writer)
         if headers.get("x-expect-version", str(self.weights)) != str(self.weights):
             return self.refuse(421, attempt, writer)
-        judge.ran(attempt, first[1], body, headers, self)
-        life = self.life
+        checker.record_run(attempt, start_line[1], body, headers, self)
+        incarnation = self.incarnation
         head = [("X-Attempt-Id", attempt), ("X-Postmark", "p-" + attempt),
                 ("X-Weight-Versions", str(self.weights)), ("X-Engine-Load", "1,0,64")]
-        work = self.random.uniform(0.005, 0.12)
-        if "/stream/" not in first[1]:
-            await asyncio.sleep(work)
-            writer.write(answer_text(200, b"whole " + attempt.encode(), head))
-            return self.up and life == self.life
+        work_seconds = self.random.uniform(0.005, 0.12)
+        if "/stream/" not in start_line[1]:
+            await asyncio.sleep(work_seconds)
+            writer.write(response_bytes(200, b"whole " + attempt.encode(), head))
+            return self.is_up and incarnation == self.incarnation
         lines = ["HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "Content-Type: text/event-stream"]
         writer.write(("\r\n".join(lines + ["%s: %s" % pair for pair in head]) + "\r\n\r\n").encode())
-        begin = int(headers.get("last-event-id") or 0) + 1
-        for event in range(begin, judge.EVENTS + 1):
-            await asyncio.sleep(work / 3)
+        first_event = int(headers.get("last-event-id") or 0) + 1
+        for event in range(first_event, checker.EVENTS_PER_STREAM + 1):
+            await asyncio.sleep(work_seconds / 3)
             text = ("id: %d\ndata: %s\n\n" % (event, attempt)).encode()
             writer.write(b"%x\r\n%s\r\n" % (len(text), text))
             await writer.drain()
         writer.write(b"0\r\n\r\n")
-        return self.up and life == self.life
+        return self.is_up and incarnation == self.incarnation
 
 
 class PlatformList(Server):
-    """The platform's list of engines; a crashed one stays on it for a second."""
+    """The platform's list of running engines."""
 
     def __init__(self, fleet, host, port):
         super().__init__(host, port)
         self.fleet = fleet
 
-    async def answer(self, first, headers, body, writer):
-        stations = [engine.listed() for engine in self.fleet.engines if engine.up]
+    async def respond(self, start_line, headers, body, writer):
+        stations = [engine.list_entry() for engine in self.fleet.engines if engine.is_up]
         page = {"stations": stations, "next_token": None}
-        writer.write(answer_text(200, json.dumps(page).encode()))
+        writer.write(response_bytes(200, json.dumps(page).encode()))
         return True
