--- a/scripts/fleet_operators.py
+++ b/scripts/fleet_operators.py
@@ -1,8 +1,8 @@
-"""Operators of a real fleet: they change the configuration all day and keep a history.
+"""Operators of a real fleet, who change the configuration concurrently and record a history.
 
 Each call is one JSON line for `peppergate check-history`. An operator knows only what its calls
-return. It sends an order again, unchanged, to another machine after an unclear answer or a second
-of silence, with a growing pause; some answers are dropped on purpose.
+return. After an ambiguous response or a timeout of one second it sends the same change to another
+machine, with exponential backoff; some responses are dropped on purpose.
 """
 import copy
 import hashlib
@@ -12,21 +12,21 @@
 import threading
 import time
 
-SILENCE_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 1.0
-DROPPED_SHARE = 0.15  # of the attempts whose answer is not waited for
-DROPPED_AFTER_SECONDS = 0.02
-MOST_ATTEMPTS = 60
-REDIRECTS = 2
+RESPONSE_TIMEOUT_SECONDS = 1.0
+FIRST_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 1.0
+DROPPED_RESPONSE_SHARE = 0.15  # of the attempts, whose response isn't awaited
+DROPPED_RESPONSE_TIMEOUT_SECONDS = 0.02
+MAX_ATTEMPTS = 60
+MAX_REDIRECTS = 2
 
 
-def microseconds():
+def now_us():
     return time.monotonic_ns() // 1000
 
 
-def contents_digest(config):
-    """Equal for configurations that differ only in the order of named items or fields."""
+def config_digest(config):
+    """Returns a digest that ignores the order of fields and of named items."""
     ordered = {}
     for field, value in config.items():
         named = isinstance(value, list) and all(
@@ -37,7 +37,7 @@
 
 
 def first_config(routes):
-    """A valid configuration with so many routes to one service."""
+    """Returns a valid configuration with the given number of routes to one service."""
     return {
         "version": 0,
         "routes": [route("route-%03d" % number) for number in range(routes)],
@@ -52,10 +52,10 @@
             "resumable": False, "service": "model"}
 
 
-def amended(config, version, items):
+def apply_amendment(config, version, items):
     result = copy.deepcopy(config)
     result["version"] = version
-    by_name = {item["name"]: place for place, item in enumerate(result["routes"])}
+    by_name = {item["name"]: index for index, item in enumerate(result["routes"])}
     for item in items:
         if item["name"] in by_name:
             result["routes"][by_name[item["name"]]] = item
@@ -65,7 +65,7 @@
 
 
 class History:
-    """The calls of all operators; lines are written as calls end."""
+    """The calls of all operators; a line is written when a call ends."""
 
     def __init__(self, path):
         self.file = open(path, "w")
@@ -84,8 +84,8 @@
 
 
 def request(address, method, path, body, timeout):
-    """The status and the text of one call; redirects are followed twice."""
-    for _ in range(REDIRECTS + 1):
+    """Returns status and body of a call; follows up to two redirects."""
+    for _ in range(MAX_REDIRECTS + 1):
         host, port = address.rsplit(":", 1)
         connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
         try:
@@ -103,136 +103,137 @@
 
 
 class Operator(threading.Thread):
-    """One operator; several of them choose numbers and bases without asking each other."""
+    """One operator; operators choose versions and base versions independently of each other."""
 
     def __init__(self, name, machines, history, seed, stop, changes):
         super().__init__(daemon=True)
-        self.name_ = name
+        self.operator_name = name
         self.machines, self.history = machines, history
-        self.draw = random.Random(seed)
-        self.stop, self.left = stop, changes
-        self.acknowledged, self.latencies, self.orders = 0, [], 0
-        self.known = None  # the newest configuration that this operator has seen
+        self.random = random.Random(seed)
+        self.stop, self.remaining_changes = stop, changes
+        self.acknowledged, self.latencies, self.change_count = 0, [], 0
+        self.known_config = None  # the newest configuration that this operator has seen
 
     def run(self):
-        while self.left > 0 and not self.stop.is_set():
-            if self.known is None:
-                self.known = self.read()
-                if self.known is None:
+        while self.remaining_changes > 0 and not self.stop.is_set():
+            if self.known_config is None:
+                self.known_config = self.read()
+                if self.known_config is None:
                     continue
-            self.left -= 1
+            self.remaining_changes -= 1
             self.change()
 
     def read(self, final=False, machine=None):
-        machine = machine or self.draw.choice(self.machines)
-        start = microseconds()
+        machine = machine or self.random.choice(self.machines)
+        start = now_us()
         try:
             status, text = request(machine, "GET", "/config", None, 3)
             answer = json.loads(text) if status in (200, 404) else None
         except (OSError, ValueError, http.client.HTTPException):
             status, answer = 0, None
-        call = {"register": "configuration", "operator": self.name_, "machine": machine,
+        call = {"register": "configuration", "operator": self.operator_name, "machine": machine,
                 "call": "read", "start": start, "final": final or None}
         if status == 404 and answer and answer.get("outcome") == "none":
-            self.history.add(**call, outcome="done", end=microseconds(), version=0, digest="")
+            self.history.add(**call, outcome="done", end=now_us(), version=0, digest="")
             return {"version": 0, "routes": []}
         if status != 200 or not answer:
             self.history.add(**call, outcome="unknown")
             self.stop.wait(0.05)
             return None
         config = answer["config"]
-        self.history.add(**call, outcome="done", end=microseconds(), version=answer["version"],
-                         digest=contents_digest(config))
+        self.history.add(**call, outcome="done", end=now_us(), version=answer["version"],
+                         digest=config_digest(config))
         return config
 
     def change(self):
-        base = self.known["version"]
-        # Operators pick from the same few numbers, so that two often pick one for two changes.
-        version = base + self.draw.randint(1, 3)
-        kind = self.draw.random()
-        proper = True
-        item = route("route-%03d" % self.draw.randint(0, 20), self.draw.randint(1000, 9000))
-        becomes = amended(self.known, version, [item])
+        base = self.known_config["version"]
+        # The few candidates make operators often choose the same version for different changes.
+        version = base + self.random.randint(1, 3)
+        kind = self.random.random()
+        valid = True
+        item = route("route-%03d" % self.random.randint(0, 20), self.random.randint(1000, 9000))
+        new_config = apply_amendment(self.known_config, version, [item])
         body = {"kind": "amend", "basedOnVersion": base,
                 "amendment": {"version": version, "upsert": {"routes": [item]}}}
         if kind < 0.3:
-            body = {"kind": "replace", "basedOnVersion": base, "config": becomes}
+            body = {"kind": "replace", "basedOnVersion": base, "config": new_config}
         elif kind < 0.4:
-            proper = False
-            becomes["routes"][0]["service"] = "nowhere"
-            body = {"kind": "replace", "basedOnVersion": base, "config": becomes}
-        self.orders += 1
-        order = "%s-%d" % (self.name_, self.orders)
-        body["changeId"] = order
-        if self.send(order, body, base, becomes, proper) == "done":
-            self.known = becomes
+            valid = False
+            new_config["routes"][0]["service"] = "nowhere"
+            body = {"kind": "replace", "basedOnVersion": base, "config": new_config}
+        self.change_count += 1
+        change_id = "%s-%d" % (self.operator_name, self.change_count)
+        body["changeId"] = change_id
+        if self.send(change_id, body, base, new_config, valid) == "done":
+            self.known_config = new_config
         else:
-            self.known = None
+            self.known_config = None
 
-    def send(self, order, body, base, becomes, proper=True):
-        """Sends one order until its answer is clear; gives its outcome."""
+    def send(self, change_id, body, base, new_config, valid=True):
+        """Sends a change until its outcome is known or no attempt is left; returns the outcome."""
         text = json.dumps(body)
-        call = {"register": "configuration", "operator": self.name_, "call": "change",
-                "order": order, "base": base, "version": becomes["version"],
-                "digest": contents_digest(becomes), "proper": None if proper else False}
+        call = {"register": "configuration", "operator": self.operator_name, "call": "change",
+                "order": change_id, "base": base, "version": new_config["version"],
+                "digest": config_digest(new_config), "proper": None if valid else False}
         machines = list(self.machines)
-        self.draw.shuffle(machines)
-        pause, began = FIRST_PAUSE_SECONDS, time.monotonic()
-        for attempt in range(MOST_ATTEMPTS):
+        self.random.shuffle(machines)
+        backoff, started = FIRST_BACKOFF_SECONDS, time.monotonic()
+        for attempt in range(MAX_ATTEMPTS):
             machine = machines[attempt % len(machines)]
-            dropped = self.draw.random() < DROPPED_SHARE
-            limit = DROPPED_AFTER_SECONDS if dropped else SILENCE_SECONDS + len(text) / 1e6
-            start = microseconds()
+            dropped = self.random.random() < DROPPED_RESPONSE_SHARE
+            limit = (DROPPED_RESPONSE_TIMEOUT_SECONDS if dropped
+                     else RESPONSE_TIMEOUT_SECONDS + len(text) / 1e6)
+            start = now_us()
             try:
                 status, answer = request(machine, "POST", "/change", text, limit)
-                said = json.loads(answer).get("outcome")
+                outcome_text = json.loads(answer).get("outcome")
             except (OSError, ValueError, http.client.HTTPException):
-                status, said = 0, None
+                status, outcome_text = 0, None
             outcome = {200: "done", 400: "refused", 409: "refused", 413: "refused"}.get(status)
-            if outcome and said is not None:
+            if outcome and outcome_text is not None:
                 self.history.add(**call, machine=machine, outcome=outcome, start=start,
-                                 end=microseconds())
+                                 end=now_us())
                 if outcome == "done":
                     self.acknowledged += 1
-                    self.latencies.append(time.monotonic() - began)
+                    self.latencies.append(time.monotonic() - started)
                 return outcome
             self.history.add(**call, machine=machine, outcome="unknown", start=start)
-            if self.stop.wait(pause * self.draw.uniform(0.5, 1)):
+            if self.stop.wait(backoff * self.random.uniform(0.5, 1)):
                 return "unknown"
-            pause = min(2 * pause, LONGEST_PAUSE_SECONDS)
+            backoff = min(2 * backoff, MAX_BACKOFF_SECONDS)
         return "unknown"
 
 
-class Operators:
-    """All operators of a day, and the reading back at its end."""
+class OperatorGroup:
+    """The operators of a run, and the final read of the configuration."""
 
     def __init__(self, machines, path, count, changes, seed, routes=20):
         self.history, self.stop = History(path), threading.Event()
         self.machines = machines
-        self.members = [Operator("operator%d" % number, machines, self.history, seed * 100 + number,
+        self.operators = [Operator("operator%d" % number, machines, self.history, seed * 100 + number,
                                  self.stop, changes) for number in range(1, count + 1)]
         self.routes = routes
 
-    def found(self):
-        """Sends the first configuration until it is taken."""
+    def send_first_config(self):
+        """Sends the first configuration; raises RuntimeError if it is not accepted."""
         config = first_config(self.routes)
         config["version"] = 1
         body = {"kind": "replace", "basedOnVersion": 0, "config": config, "changeId": "first"}
-        first = self.members[0]
+        first = self.operators[0]
         if first.send("first", body, 0, config) != "done":
-            raise RuntimeError("the first configuration was not taken")
+            raise RuntimeError("the first configuration was not accepted")
 
     def start(self):
-        for member in self.members:
-            member.start()
+        for operator in self.operators:
+            operator.start()
 
     def finish(self, limit=30):
-        """Ends all operators, then reads the configuration back from every machine."""
-        for member in self.members:
-            member.join(limit)
+        """Stops all operators, then reads the configuration from every machine."""
+        for operator in self.operators:
+            operator.join(limit)
         self.stop.set()
-        for member in self.members:
-            member.join(10)
+        for operator in self.operators:
+            operator.join(10)
         reader = Operator("reader", self.machines, self.history, 1, threading.Event(), 0)
         for machine in self.machines:
             for _ in range(20):
@@ -240,10 +241,10 @@
                     break
         self.history.close()
 
-    def figures(self):
-        latencies = sorted(each for member in self.members for each in member.latencies)
+    def statistics(self):
+        latencies = sorted(each for operator in self.operators for each in operator.latencies)
         count = len(latencies)
-        return {"calls": self.history.calls, "orders": sum(m.orders for m in self.members),
+        return {"calls": self.history.calls, "orders": sum(m.change_count for m in self.operators),
                 "acknowledged": count,
                 "secondsToAcknowledgement": {
                     "median": round(latencies[count // 2], 4) if count else None,
