--- a/scripts/fleet_operators.py
+++ b/scripts/fleet_operators.py
@@ -210,8 +210,9 @@
     def __init__(self, machines, path, count, changes, seed, routes=20):
         self.history, self.stop = History(path), threading.Event()
         self.machines = machines
-        self.operators = [Operator("operator%d" % number, machines, self.history, seed * 100 + number,
-                                 self.stop, changes) for number in range(1, count + 1)]
+        self.operators = [Operator("operator%d" % number, machines, self.history,
+                                   seed * 100 + number, self.stop, changes)
+                          for number in range(1, count + 1)]
         self.routes = routes
 
     def send_first_config(self):
--- a/scripts/fleet_parts.py
+++ b/scripts/fleet_parts.py
@@ -4,7 +4,7 @@
 
 
 def random_faults(seed, seconds, fronts, engines):
-    """Returns faults in the format of --fault. Core machines fail one at a time; none in the last 12 s.
+    """Returns faults in the format of --fault: one core at a time, none in the last 12 s.
 
     Example: random_faults(7, 60, 9, 18) returns ["6.1:kill:primary", "9.3:start:all", ...].
     """
--- a/tests/scripts_includes_test.py
+++ b/tests/scripts_includes_test.py
@@ -1,4 +1,4 @@
-"""Tests of scripts/check-includes on made-up trees."""
+"""Tests of scripts/check-includes on generated source trees."""
 import importlib.machinery
 import importlib.util
 import pathlib
@@ -32,7 +32,7 @@
 
 
 class IncludesTest(unittest.TestCase):
-    def faults(self, changes, layers=LAYERS):
+    def errors(self, changes, layers=LAYERS):
         with tempfile.TemporaryDirectory() as folder:
             for path, text in {**GOOD, **changes}.items():
                 (pathlib.Path(folder) / path).parent.mkdir(parents=True, exist_ok=True)
@@ -40,43 +40,43 @@
             return check_includes.check(pathlib.Path(folder), layers)
 
     def test_downward_includes(self):
-        self.assertEqual(self.faults({}), [])
+        self.assertEqual(self.errors({}), [])
 
     def test_an_upward_include(self):
-        self.assertEqual(self.faults({"src/core/node.h": '#include "io/loop.h"\n'}),
+        self.assertEqual(self.errors({"src/core/node.h": '#include "io/loop.h"\n'}),
                          ["src/core/node.h (core) may not include src/io/loop.h (io)"])
 
     def test_an_upward_include_with_blanks(self):
-        self.assertEqual(self.faults({"src/core/node.h": '  #  include  "io/loop.h"\n'}),
+        self.assertEqual(self.errors({"src/core/node.h": '  #  include  "io/loop.h"\n'}),
                          ["src/core/node.h (core) may not include src/io/loop.h (io)"])
 
-    def test_a_file_of_a_lower_module_in_a_higher_folder(self):
-        self.assertEqual(self.faults({"src/core/types.h": '#include "core/node.h"\n'})[0],
+    def test_a_lower_module_includes_a_higher_one_in_its_folder(self):
+        self.assertEqual(self.errors({"src/core/types.h": '#include "core/node.h"\n'})[0],
                          "src/core/types.h (base) may not include src/core/node.h (core)")
 
-    def test_a_lower_module_that_is_not_allowed(self):
-        self.assertEqual(self.faults({"src/io/loop.h": '#include "wire/frame.h"\n'}),
+    def test_an_include_of_a_lower_module_that_is_not_allowed(self):
+        self.assertEqual(self.errors({"src/io/loop.h": '#include "wire/frame.h"\n'}),
                          ["src/io/loop.h (io) may not include src/wire/frame.h (wire)"])
 
-    def test_a_folder_that_the_table_does_not_know(self):
-        self.assertEqual(self.faults({"src/extra/new.h": ""}),
+    def test_a_folder_without_a_module(self):
+        self.assertEqual(self.errors({"src/extra/new.h": ""}),
                          ["src/extra/new.h: belongs to no module of the table"])
 
     def test_a_relative_include(self):
-        self.assertEqual(self.faults({"src/io/loop.h": '#include "../core/node.h"\n'}),
+        self.assertEqual(self.errors({"src/io/loop.h": '#include "../core/node.h"\n'}),
                          ['src/io/loop.h: "../core/node.h" is no file below src or the root'])
 
-    def test_an_include_of_nothing(self):
-        self.assertEqual(self.faults({"src/io/loop.h": '#include "loop_types.h"\n'}),
+    def test_an_include_of_a_missing_file(self):
+        self.assertEqual(self.errors({"src/io/loop.h": '#include "loop_types.h"\n'}),
                          ['src/io/loop.h: "loop_types.h" is no file below src or the root'])
 
-    def test_a_circle_within_a_module(self):
-        faults = self.faults({"src/io/a.h": '#include "io/b.h"\n', "src/io/b.h": '#include "io/a.h"\n'})
-        self.assertEqual(faults, ["circular includes: src/io/a.h -> src/io/b.h -> src/io/a.h"])
+    def test_a_cycle_within_a_module(self):
+        errors = self.errors({"src/io/a.h": '#include "io/b.h"\n', "src/io/b.h": '#include "io/a.h"\n'})
+        self.assertEqual(errors, ["circular includes: src/io/a.h -> src/io/b.h -> src/io/a.h"])
 
-    def test_a_table_with_an_upward_arrow(self):
+    def test_a_table_that_allows_an_upward_include(self):
         layers = (Layer("base", ("src/core/types.h",), ("wire",)), *LAYERS[1:])
-        self.assertEqual(self.faults({}, layers), ["the table lets base include wire, which isn't below it"])
+        self.assertEqual(self.errors({}, layers), ["the table lets base include wire, which isn't below it"])
 
     def test_an_empty_tree(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -91,8 +91,8 @@
             self.assertEqual(check_includes.missing_readmes(root),
                              ["src/io: no README.md says what it owns and may include"])
 
-    def test_the_real_table(self):
-        self.assertEqual(check_includes.table_faults(check_includes.LAYERS), [])
+    def test_the_table_of_this_tree(self):
+        self.assertEqual(check_includes.table_errors(check_includes.LAYERS), [])
 
 
 if __name__ == "__main__":
