--- a/tests/scripts_packages_test.py
+++ b/tests/scripts_packages_test.py
@@ -33,11 +33,11 @@
             HEADER, "/usr/lib/x86_64-linux-gnu/libxxhash.so.0"))
         self.assertEqual(code, 0, output)
 
-    def test_an_essential_package_needs_no_line(self):
+    def test_an_essential_package_need_not_be_listed(self):
         code, output = self.check_list('packages = ["libxxhash-dev"]\n', files=("/bin/ls",))
         self.assertEqual(code, 0, output)
 
-    def test_a_file_of_no_package(self):
+    def test_a_file_without_a_package(self):
         code, output = self.check_list('packages = ["libxxhash-dev"]\n',
                                      files=("/usr/include/made_up.h",))
         self.assertEqual(code, 1)
--- a/tests/scripts_soak_test.py
+++ b/tests/scripts_soak_test.py
@@ -44,14 +44,14 @@
         headers = {"x-attempt-id": attempt, "x-postmark": stamp}
         self.checker.record_response("a1", status, headers, body)
 
-    def test_a_whole_answer_breaks_nothing(self):
+    def test_a_complete_response_violates_no_rule(self):
         self.record_request()
         self.run_once()
         self.answer(200)
         self.assertEqual(self.violations(), [])
         self.assertEqual(self.checker.served_share_since(0), 1)
 
-    def test_a_second_run_is_seen(self):
+    def test_a_second_run_is_reported(self):
         self.record_request()
         self.run_once()
         self.run_once()
@@ -63,7 +63,7 @@
         self.run_once("/stream/1")
         self.assertEqual(self.violations(), [])
 
-    def test_a_promise_after_a_run_and_a_run_after_a_promise_are_seen(self):
+    def test_a_refused_request_that_runs_is_reported_in_either_order(self):
         self.record_request()
         self.run_once()
         self.answer(503, b"")
@@ -74,7 +74,7 @@
         self.run_once()
         self.assertEqual(self.violations(), ["REFUSED"])
 
-    def test_what_was_changed_or_never_sent_is_seen(self):
+    def test_a_changed_or_unknown_request_at_an_engine_is_reported(self):
         for path, body, tenant in (("/once/2", b"body", "first"), ("/once/1", b"other", "first"),
                                    ("/once/1", b"body", "")):
             self.setUp()
@@ -82,7 +82,7 @@
             self.run_once(path, body, tenant)
             self.assertEqual(self.violations(), ["UNASKED"])
 
-    def test_answers_of_others_are_seen(self):
+    def test_a_response_to_another_request_is_reported(self):
         for body, stamp, attempt in ((b"whole a2", "p-a1", "a1"), (b"whole a1", "p-a2", "a1"),
                                      (b"whole a1", "p-a1", "a2")):
             self.setUp()
@@ -91,24 +91,24 @@
             self.answer(200, body, stamp, attempt)
             self.assertEqual(self.violations(), ["MIXED"])
 
-    def test_a_stream_that_lacks_an_event_is_seen(self):
+    def test_a_stream_without_all_events_is_reported(self):
         self.record_request("stream")
         self.answer(200, b"id: 1\ndata: a1\n\n")
         self.assertEqual(self.violations(), ["ORDER"])
 
-    def test_an_end_without_an_answer_is_seen(self):
+    def test_a_closed_connection_without_a_response_is_reported(self):
         self.record_request()
         self.run_once()
         self.checker.record_broken_connection("a1", False, "reset")
         self.assertEqual(self.violations(), ["LOST"])
 
-    def test_a_late_end_of_what_was_never_passed_on_is_seen(self):
+    def test_a_late_close_of_a_request_that_was_not_forwarded_is_reported(self):
         self.record_request()
         self.checker.requests["a1"].sent_at -= 2 * LOSS_SLACK_SECONDS
         self.checker.record_broken_connection("a1", False, "reset")
         self.assertEqual(self.violations(), ["LOST"])
 
-    def test_an_end_that_crosses_or_has_another_cause_is_none(self):
+    def test_a_close_that_crosses_the_request_or_follows_a_fault_is_allowed(self):
         self.record_request()
         self.checker.record_broken_connection("a1", False, "reset")  # the close crossed the request
         self.record_request()
@@ -121,7 +121,7 @@
         self.checker.record_broken_connection("a1", True, "reset")
         self.assertEqual(self.violations(), [])
 
-    def test_old_weights_are_seen_by_the_first_naming_above_them(self):
+    def test_old_weights_are_measured_from_the_first_newer_announcement(self):
         now = time.monotonic()
         self.checker.last_core_fault = self.router.fault_time = now - VERSION_BOUND_SECONDS - 60
         self.checker.announcements = [(2, now - VERSION_BOUND_SECONDS - 1), (3, now - 1)]
@@ -136,7 +136,7 @@
         self.run_once()
         self.assertEqual(self.violations(), [])
 
-    def test_trouble_of_a_core_begins_the_time_of_weights_anew(self):
+    def test_a_core_fault_restarts_the_time_allowed_for_old_weights(self):
         now = time.monotonic()
         self.checker.last_core_fault = now - 5
         self.checker.announcements = [(2, now - VERSION_BOUND_SECONDS - 1)]
@@ -144,7 +144,7 @@
         self.run_once()
         self.assertEqual(self.violations(), [])
 
-    def test_an_older_configuration_is_seen(self):
+    def test_an_outdated_configuration_is_reported(self):
         now = time.monotonic()
         self.checker.acknowledged_editions = [(4, now - 10), (6, now - 0.5)]
         self.checker.check_read(4, now, "core1")
@@ -152,7 +152,7 @@
         self.checker.check_read(3, now, "core1")
         self.assertEqual(self.violations(), ["CONFIG"])
 
-    def test_silence_and_denials_are_seen(self):
+    def test_a_missing_response_and_a_denial_are_reported(self):
         self.record_request()
         self.checker.record_timeout("a1")
         self.checker.record_response("a1", 404, {}, b"")
