--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -8,10 +8,10 @@
 
 namespace peppergate {
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
 enum ExitCode : int {
-  kExitGood = 0,
+  kExitSuccess = 0,
   kExitFailed = 1,       // the request was rejected, or a check failed
   kExitUsage = 2,        // invalid flags, settings or files
   kExitCannotStart = 3,  // for example, a port in use or a folder that can't be written
@@ -20,45 +20,46 @@
 
 /// Runs a router ("front") or a core ("core").
 /// Example: `daemonCommand("front", {"--member", "127.0.0.1:7101"})`.
-int daemonCommand(std::string_view role, const Words& words);
+int daemonCommand(std::string_view role, const Arguments& arguments);
 /// Runs a daemon from the platform's settings file.
-int nodeCommand(const Words& words);
+int nodeCommand(const Arguments& arguments);
 /// Checks a settings file of the platform.
-int checkNode(const std::string& file);
+int checkNodeSettings(const std::string& file);
 /// Checks a settings file in the same way as a daemon at its start.
 /// Example: `checkCommand({"--settings", "a.ini"})`.
-int checkCommand(const Words& words);
+int checkCommand(const Arguments& arguments);
 /// Shows or changes the setup. Example: `setupCommand({"show", "--at", "127.0.0.1:7201"})`.
-int setupCommand(const Words& words);
+int setupCommand(const Arguments& arguments);
 /// Shows on which daemons a change is in force.
 /// Example: `traceCommand({"--at", "127.0.0.1:7201", "--section", "keys"})`.
-int traceCommand(const Words& words);
+int traceCommand(const Arguments& arguments);
 /// Runs simulated scenarios. Example: `rehearseCommand({"scenarios", "--seeds", "1-20"})`.
-int rehearseCommand(const Words& words);
+int rehearseCommand(const Arguments& arguments);
 /// Runs simulated scenarios of router fleets.
 /// Example: `routerRehearseCommand({"scenarios/routers", "--seeds", "1-20"})`.
-int routerRehearseCommand(const Words& words);
+int routerRehearseCommand(const Arguments& arguments);
 /// Searches schedules of the control code for violations.
 /// Example: `modelCheckCommand({"--machines", "3", "--departures", "2"})`.
-int modelCheckCommand(const Words& words);
+int modelCheckCommand(const Arguments& arguments);
 /// Runs random schedules that mix all kinds of failures.
 /// Example: `scheduleRehearseCommand({"routers", "--seeds", "1-9"})`.
-int scheduleRehearseCommand(const Words& words);
+int scheduleRehearseCommand(const Arguments& arguments);
 /// Solves placement constraints. Example: `placeCommand({"placement.json"})`.
-int placeCommand(const Words& words);
+int placeCommand(const Arguments& arguments);
 /// Runs a stand-in for an external service.
 /// Example: `standinCommand({"engine", "--listen", "127.0.0.1:9001"})`.
-int standinCommand(const Words& words);
+int standinCommand(const Arguments& arguments);
 /// Measures a simulated fleet without traffic. Example: `hollowCommand({"--fronts", "40", "--seed",
 /// "2"})`.
-int hollowCommand(const Words& words);
+int hollowCommand(const Arguments& arguments);
 /// Checks whether a history is linearizable. Example: `checkHistoryCommand({"history.jsonl"})`.
-int checkHistoryCommand(const Words& words);
+int checkHistoryCommand(const Arguments& arguments);
 
 /// Parses the arguments. Returns an exit code if the command is done: after an error, which is
 /// printed, or after --help; otherwise -1.
-int parseWords(const Words& words, const boost::program_options::options_description& options,
-               boost::program_options::variables_map& values,
-               const std::vector<std::string>& positional = {});
+int parseArguments(const Arguments& arguments,
+                   const boost::program_options::options_description& options,
+                   boost::program_options::variables_map& values,
+                   const std::vector<std::string>& positional = {});
 
 }  // namespace peppergate
--- a/src/app/daemon_command.cc
+++ b/src/app/daemon_command.cc
@@ -35,11 +35,11 @@
   return options;
 }
 
-absl::Status checkAddress(const po::variables_map& values, const char* name, bool needed,
-                          Address& address) {
+absl::Status readAddress(const po::variables_map& values, const char* name, bool required,
+                         Address& address) {
   address.value = values[name].as<std::string>();
   sockaddr_in parsed{};
-  if (address.value.empty() && !needed) return absl::OkStatus();
+  if (address.value.empty() && !required) return absl::OkStatus();
   if (!parseAddress(address.value, parsed))
     return absl::InvalidArgumentError(std::string(name) + ": '" + address.value +
                                       "' is not IP:PORT");
@@ -63,13 +63,13 @@
 
 absl::StatusOr<DaemonSetup> readSetup(std::string_view role, const po::variables_map& values) {
   DaemonSetup setup;
-  bool front = role == "front";
+  bool isRouter = role == "front";
   setup.fleet = values["fleet"].as<std::string>();
-  for (auto [name, needed, address] :
-       {std::tuple{"member", true, &setup.member}, std::tuple{"pages", true, &setup.pages},
-        std::tuple{"callers", front, &setup.callers},
-        std::tuple{"platform", front, &setup.platform}})
-    if (auto status = checkAddress(values, name, needed, *address); !status.ok()) return status;
+  for (auto [name, required, address] : {std::tuple{"member", true, &setup.memberAddress},
+                                         std::tuple{"pages", true, &setup.operatorAddress},
+                                         std::tuple{"callers", isRouter, &setup.clientAddress},
+                                         std::tuple{"platform", isRouter, &setup.platformAddress}})
+    if (auto status = readAddress(values, name, required, *address); !status.ok()) return status;
   setup.zone = {values["district"].as<std::string>()};
   if (values.count("seed") > 0)
     for (const auto& seed : values["seed"].as<std::vector<std::string>>()) {
@@ -79,10 +79,10 @@
       setup.seeds.push_back({seed});
     }
   setup.dataFolder = values["data"].as<std::string>();
-  if (!front && setup.dataFolder.empty())
+  if (!isRouter && setup.dataFolder.empty())
     return absl::InvalidArgumentError("data: a core requires a data folder");
-  setup.bootstrap.cores = values["found"].as<std::size_t>();
-  setup.rehearsal = values["rehearsal"].as<bool>();
+  setup.bootstrap.expectedCores = values["found"].as<std::size_t>();
+  setup.allowsFaultInjection = values["rehearsal"].as<bool>();
   auto options = readOptions(values);
   if (!options.ok()) return options.status();
   setup.options = *options;
@@ -90,12 +90,12 @@
 }
 
 /// Reads the flags and the file that they name; flags take precedence over the file.
-int readAll(const Words& words, po::variables_map& values, std::string& file) {
+int readFlagsAndFile(const Arguments& arguments, po::variables_map& values, std::string& file) {
   po::options_description all("Flags");
   all.add_options()("help", "print this help")("settings", po::value<std::string>(),
                                                "path of the settings file");
   all.add(settingsOptions());
-  if (int code = parseWords(words, all, values); code >= 0) return code;
+  if (int code = parseArguments(arguments, all, values); code >= 0) return code;
   if (values.count("settings") == 0) return -1;
   file = values["settings"].as<std::string>();
   std::ifstream stream(file);
@@ -104,61 +104,61 @@
     return kExitUsage;
   }
   // Parsed again into an empty map, since the flags' default values would hide those of the file.
-  po::variables_map both;
+  po::variables_map merged;
   try {
-    po::store(po::command_line_parser(words).options(all).run(), both);
-    po::store(po::parse_config_file(stream, settingsOptions()), both);
-    po::notify(both);
-  } catch (const po::error& wrong) {
-    std::fprintf(stderr, "%s: %s\n", file.c_str(), wrong.what());
+    po::store(po::command_line_parser(arguments).options(all).run(), merged);
+    po::store(po::parse_config_file(stream, settingsOptions()), merged);
+    po::notify(merged);
+  } catch (const po::error& error) {
+    std::fprintf(stderr, "%s: %s\n", file.c_str(), error.what());
     return kExitUsage;
   }
-  values = both;
+  values = merged;
   return -1;
 }
 
 }  // namespace
 
-int daemonCommand(std::string_view role, const Words& words) {
+int daemonCommand(std::string_view role, const Arguments& arguments) {
   po::variables_map values;
   std::string file;
-  if (int code = readAll(words, values, file); code >= 0) return code;
+  if (int code = readFlagsAndFile(arguments, values, file); code >= 0) return code;
   auto setup = readSetup(role, values);
   if (!setup.ok()) {
     std::fprintf(stderr, "%s\n", std::string(setup.status().message()).c_str());
     return kExitUsage;
   }
-  Daemon daemon(role == "core" ? Role::kCore : Role::kFront, *setup);
+  Daemon daemon(role == "core" ? Role::kCore : Role::kRouter, *setup);
   if (auto status = daemon.open(); !status.ok()) {
     std::fprintf(stderr, "%s\n", std::string(status.message()).c_str());
     return kExitCannotStart;
   }
   Options running = setup->options;
-  return daemon.run([words, running]() -> absl::StatusOr<Options> {
-    po::variables_map again;
+  return daemon.run([arguments, running]() -> absl::StatusOr<Options> {
+    po::variables_map rereadValues;
     std::string unused;
-    if (readAll(words, again, unused) >= 0)
+    if (readFlagsAndFile(arguments, rereadValues, unused) >= 0)
       return absl::InvalidArgumentError("cannot read the settings");
-    auto options = readOptions(again);
+    auto options = readOptions(rereadValues);
     if (!options.ok()) return options.status();
     // Options that the protocols between members depend on change only with a restart.
-    return mayReloadOnly(running, *options);
+    return withReloadedOptions(running, *options);
   });
 }
 
-int checkCommand(const Words& words) {
-  if (words.size() == 2 && words[0] == "--node") return checkNode(words[1]);
+int checkCommand(const Arguments& arguments) {
+  if (arguments.size() == 2 && arguments[0] == "--node") return checkNodeSettings(arguments[1]);
   po::variables_map values;
   std::string file;
-  if (int code = readAll(words, values, file); code >= 0) return code;
-  bool front = !values["callers"].as<std::string>().empty();
-  auto setup = readSetup(front ? "front" : "core", values);
+  if (int code = readFlagsAndFile(arguments, values, file); code >= 0) return code;
+  bool isRouter = !values["callers"].as<std::string>().empty();
+  auto setup = readSetup(isRouter ? "front" : "core", values);
   if (!setup.ok()) {
     std::fprintf(stderr, "%s\n", std::string(setup.status().message()).c_str());
     return kExitUsage;
   }
-  std::printf("settings are valid for a %s\n", front ? "front" : "core");
-  return kExitGood;
+  std::printf("settings are valid for a %s\n", isRouter ? "front" : "core");
+  return kExitSuccess;
 }
 
 }  // namespace peppergate
--- a/src/app/http_once.h
+++ b/src/app/http_once.h
@@ -5,7 +5,8 @@
 namespace peppergate {
 
 /// Sends one HTTP request and waits for its answer; status 0 if there is none.
-WebResult httpOnce(const Address& address, const std::string& method, const std::string& path,
-                   const std::string& body, Duration timeout = seconds(8));
+WebResponse sendHttpRequest(const Address& address, const std::string& method,
+                            const std::string& path, const std::string& body,
+                            Duration timeout = seconds(8));
 
 }  // namespace peppergate
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -9,16 +9,16 @@
 namespace peppergate {
 namespace {
 
-int frontCommand(const Words& words) { return daemonCommand("front", words); }
-int coreCommand(const Words& words) { return daemonCommand("core", words); }
-int versionCommand(const Words&) {
+int frontCommand(const Arguments& arguments) { return daemonCommand("front", arguments); }
+int coreCommand(const Arguments& arguments) { return daemonCommand("core", arguments); }
+int versionCommand(const Arguments&) {
   std::printf("peppergate %s\n", PEPPERGATE_VERSION);
-  return kExitGood;
+  return kExitSuccess;
 }
 
 struct CommandRow {
   std::string_view name;
-  int (*run)(const Words&);
+  int (*run)(const Arguments&);
   std::string_view help;
 };
 constexpr std::array kCommands{
@@ -48,33 +48,34 @@
     CommandRow{"version", &versionCommand, "print the version"},
 };
 
-void printHelp(std::FILE* to) {
-  std::fprintf(to, "usage: peppergate COMMAND [FLAGS]\n\ncommands:\n");
+void printHelp(std::FILE* stream) {
+  std::fprintf(stream, "usage: peppergate COMMAND [FLAGS]\n\ncommands:\n");
   for (const auto& row : kCommands)
-    std::fprintf(to, "  %-16.*s %.*s\n", static_cast<int>(row.name.size()), row.name.data(),
+    std::fprintf(stream, "  %-16.*s %.*s\n", static_cast<int>(row.name.size()), row.name.data(),
                  static_cast<int>(row.help.size()), row.help.data());
-  std::fprintf(to, "\n'peppergate COMMAND --help' prints the flags of a command.\n");
+  std::fprintf(stream, "\n'peppergate COMMAND --help' prints the flags of a command.\n");
 }
 
 }  // namespace
 
 namespace po = boost::program_options;
 
-int parseWords(const Words& words, const po::options_description& options,
-               po::variables_map& values, const std::vector<std::string>& positional) {
-  po::positional_options_description places;
-  for (const auto& name : positional) places.add(name.c_str(), 1);
+int parseArguments(const Arguments& arguments, const po::options_description& options,
+                   po::variables_map& values, const std::vector<std::string>& positional) {
+  po::positional_options_description positions;
+  for (const auto& name : positional) positions.add(name.c_str(), 1);
   try {
-    po::store(po::command_line_parser(words).options(options).positional(places).run(), values);
+    po::store(po::command_line_parser(arguments).options(options).positional(positions).run(),
+              values);
     if (values.count("help") > 0) {
       std::stringstream text;
       text << options;
       std::printf("%s", text.str().c_str());
-      return kExitGood;
+      return kExitSuccess;
     }
     po::notify(values);
-  } catch (const po::error& wrong) {
-    std::fprintf(stderr, "%s\n", wrong.what());
+  } catch (const po::error& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return kExitUsage;
   }
   return -1;
@@ -82,14 +83,14 @@
 
 }  // namespace peppergate
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   using namespace peppergate;
-  google::InitGoogleLogging(words[0]);
+  google::InitGoogleLogging(argv[0]);
   FLAGS_logtostderr = true;
-  std::string_view name = count > 1 ? words[1] : "";
-  if (name == "--help" || name == "help") return printHelp(stdout), kExitGood;
+  std::string_view name = argc > 1 ? argv[1] : "";
+  if (name == "--help" || name == "help") return printHelp(stdout), kExitSuccess;
   for (const auto& row : kCommands)
-    if (row.name == name) return row.run(Words(words + 2, words + count));
+    if (row.name == name) return row.run(Arguments(argv + 2, argv + argc));
   printHelp(stderr);
   return kExitUsage;
 }
--- a/src/app/model_check_command.cc
+++ b/src/app/model_check_command.cc
@@ -68,18 +68,19 @@
 }
 
 absl::Status readLimit(const std::string& text, ModelOptions& options) {
-  auto sign = text.find('=');
-  if (sign == std::string::npos) return absl::InvalidArgumentError("--limit requires ACTION=COUNT");
+  auto equals = text.find('=');
+  if (equals == std::string::npos)
+    return absl::InvalidArgumentError("--limit requires ACTION=COUNT");
   char* end = nullptr;
-  long count = std::strtol(text.c_str() + sign + 1, &end, 10);
-  if (end == text.c_str() + sign + 1 || *end != '\0' || count < 0 || count > 1'000'000)
+  long count = std::strtol(text.c_str() + equals + 1, &end, 10);
+  if (end == text.c_str() + equals + 1 || *end != '\0' || count < 0 || count > 1'000'000)
     return absl::InvalidArgumentError("--limit requires ACTION=COUNT");
-  if (text.substr(0, sign) == "*") {
+  if (text.substr(0, equals) == "*") {
     options.limits.fill(static_cast<int>(count));
     options.limit(model::ActionKind::kRelease) = 1'000'000;
     return absl::OkStatus();
   }
-  auto kind = model::actionKind(text.substr(0, sign));
+  auto kind = model::parseActionKind(text.substr(0, equals));
   if (!kind.ok()) return kind.status();
   options.limit(*kind) = static_cast<int>(count);
   return absl::OkStatus();
@@ -101,12 +102,12 @@
   options.machines = values["machines"].as<int>();
   options.voters = values["voters"].as<int>();
   options.tolerate = values["tolerate"].as<int>();
-  options.orders = values["orders"].as<int>();
+  options.changes = values["orders"].as<int>();
   options.seed = values["seed"].as<std::uint64_t>();
   options.tick = milliseconds(values["tick-ms"].as<int>());
   options.horizon = milliseconds(values["horizon-ms"].as<int>());
   options.recovery = milliseconds(values["recovery-ms"].as<int>());
-  auto granularity = model::granularityNamed(values["granularity"].as<std::string>());
+  auto granularity = model::parseGranularity(values["granularity"].as<std::string>());
   if (!granularity.ok()) return granularity.status();
   options.granularity = *granularity;
   if (values.count("limit") > 0)
@@ -114,13 +115,13 @@
       if (auto status = readLimit(text, options); !status.ok()) return status;
   if (values.count("rule") > 0)
     for (const auto& name : values["rule"].as<std::vector<std::string>>()) {
-      auto rule = model::ruleNamed(name);
+      auto rule = model::parseRule(name);
       if (!rule.ok()) return rule.status();
       options.rules.add(*rule);
     }
   if (values.count("fault") > 0)
     for (const auto& name : values["fault"].as<std::vector<std::string>>()) {
-      auto fault = controlFaultNamed(name);
+      auto fault = parseControlFault(name);
       if (!fault.ok()) return fault.status();
       options.faults.set(*fault);
     }
@@ -141,9 +142,9 @@
   options.search.threads = options.walk.threads = values["threads"].as<unsigned>();
   if (options.search.threads < 1 || options.search.threads > 256)
     return absl::InvalidArgumentError("--threads must be between 1 and 256");
-  options.search.time = options.walk.time = seconds(time);
-  options.search.mostStates = values["most-states"].as<std::uint64_t>();
-  options.walk.departureShare = share;
+  options.search.timeLimit = options.walk.timeLimit = seconds(time);
+  options.search.maxStates = values["most-states"].as<std::uint64_t>();
+  options.walk.departureProbability = share;
   if (values["steered"].as<bool>()) options.walk.steering = model::Steering::kReplacements;
   options.suite = values["suite"].as<bool>();
   options.walks = values.count("walks") > 0;
@@ -156,18 +157,18 @@
   return options;
 }
 
-int usage(const absl::Status& status) {
+int printUsageError(const absl::Status& status) {
   std::fprintf(stderr, "%s\n", std::string(status.message()).c_str());
   return kExitUsage;
 }
 
-int verdict(const std::string& violation) {
-  if (violation.empty()) return kExitGood;
+int reportViolation(const std::string& violation) {
+  if (violation.empty()) return kExitSuccess;
   std::printf("FAILED: %s\n", violation.c_str());
   return kExitFailed;
 }
 
-void showFailing(const CommandOptions& options, const std::optional<model::Schedule>& failing) {
+void printFailing(const CommandOptions& options, const std::optional<model::Schedule>& failing) {
   if (!failing) return;
   std::string text = model::scheduleText(*failing);
   std::printf("---- replay with peppergate model-check --replay FILE ----\n%s----\n", text.c_str());
@@ -176,35 +177,35 @@
 
 int replayCommand(const CommandOptions& options) {
   std::ifstream file(options.replayFile);
-  if (!file) return usage(absl::NotFoundError("cannot read " + options.replayFile));
+  if (!file) return printUsageError(absl::NotFoundError("cannot read " + options.replayFile));
   std::stringstream text;
   text << file.rdbuf();
   auto schedule = model::parseSchedule(text.str());
-  if (!schedule.ok()) return usage(schedule.status());
+  if (!schedule.ok()) return printUsageError(schedule.status());
   auto report = model::replay(*schedule);
-  if (!report.ok()) return usage(report.status());
+  if (!report.ok()) return printUsageError(report.status());
   if (!options.quiet)
     for (const auto& step : report->steps) std::printf("%s\n", step.c_str());
-  std::printf("%d choices\n", report->positions);
-  return verdict(report->violation);
+  std::printf("%d choices\n", report->choicePoints);
+  return reportViolation(report->violation);
 }
 
 int searchCommand(const CommandOptions& options) {
   auto report = model::search(options.model, options.search);
-  if (!report.ok()) return usage(report.status());
-  std::printf("%s\n", model::reportLine(*report).c_str());
-  showFailing(options, report->failing);
-  return verdict(report->violation);
+  if (!report.ok()) return printUsageError(report.status());
+  std::printf("%s\n", model::summaryLine(*report).c_str());
+  printFailing(options, report->failingSchedule);
+  return reportViolation(report->violation);
 }
 
 int walkCommand(const CommandOptions& options) {
-  auto report = model::walk(options.model, options.walk);
-  if (!report.ok()) return usage(report.status());
-  std::printf("%s\n", model::reportLine(*report).c_str());
-  for (const auto& [rule, count] : report->violations)
+  auto report = model::runWalks(options.model, options.walk);
+  if (!report.ok()) return printUsageError(report.status());
+  std::printf("%s\n", model::summaryLine(*report).c_str());
+  for (const auto& [rule, count] : report->walksByRule)
     std::printf("%6llu walks: %s\n", static_cast<unsigned long long>(count), rule.c_str());
-  showFailing(options, report->failing);
-  return verdict(report->violation);
+  printFailing(options, report->failingSchedule);
+  return reportViolation(report->violation);
 }
 
 int suiteCommand(const CommandOptions& options) {
@@ -212,22 +213,22 @@
   auto results = model::runSuite(options.search.threads);
   for (const auto& result : results) {
     std::printf("%s%s: %s\n", result.passed ? "" : "FAILED ", result.name.c_str(),
-                result.line.c_str());
+                result.summary.c_str());
     if (!result.passed) ++failed;
-    showFailing(options, result.failing);
+    printFailing(options, result.failingSchedule);
   }
   std::printf("%zu passed, %zu failed\n", results.size() - failed, failed);
-  return failed == 0 ? kExitGood : kExitFailed;
+  return failed == 0 ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace
 
-int modelCheckCommand(const Words& words) {
+int modelCheckCommand(const Arguments& arguments) {
   po::options_description options = flags();
   po::variables_map values;
-  if (int code = parseWords(words, options, values); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values); code >= 0) return code;
   auto read = readOptions(values);
-  if (!read.ok()) return usage(read.status());
+  if (!read.ok()) return printUsageError(read.status());
   if (!read->replayFile.empty()) return replayCommand(*read);
   if (read->suite) return suiteCommand(*read);
   return read->walks ? walkCommand(*read) : searchCommand(*read);
--- a/src/app/place_command.cc
+++ b/src/app/place_command.cc
@@ -11,13 +11,13 @@
 
 namespace po = boost::program_options;
 
-int placeCommand(const Words& words) {
+int placeCommand(const Arguments& arguments) {
   po::options_description options("peppergate place FILE");
   options.add_options()("help", "print this help")(
       "file", po::value<std::string>()->required(),
       "JSON file with districts, engines, tenants and constraints");
   po::variables_map values;
-  if (int code = parseWords(words, options, values, {"file"}); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values, {"file"}); code >= 0) return code;
   std::ifstream file(values["file"].as<std::string>());
   std::stringstream text;
   text << file.rdbuf();
@@ -36,7 +36,7 @@
       Json{{"possible", true}, {"engines", placement->engines}, {"tenants", placement->tenants}}
           .dump(2)
           .c_str());
-  return kExitGood;
+  return kExitSuccess;
 }
 
 }  // namespace peppergate
--- a/src/app/rehearse_command.cc
+++ b/src/app/rehearse_command.cc
@@ -31,13 +31,14 @@
 };
 
 /// Shrinks a failing random schedule and prints it as a scenario file.
-void printCutDown(const RandomDay& day, const RunReport& report) {
-  std::printf("---- shrunk schedule ----\n%s----\n", cutDown(day, report).text().c_str());
+void printShrunk(const RandomSchedule& schedule, const RunReport& report) {
+  std::printf("---- shrunk schedule ----\n%s----\n",
+              shrinkRandomSchedule(schedule, report).text().c_str());
 }
 
 }  // namespace
 
-int rehearseCommand(const Words& words) {
+int rehearseCommand(const Arguments& arguments) {
   po::options_description options("peppergate rehearse FILE|FOLDER");
   options.add_options()("help", "print this help")(
       "path", po::value<std::string>()->default_value(""), "a scenario file, or a folder of them")(
@@ -52,27 +53,28 @@
                                  "print the worst observed value of each bound")(
       "figures", po::bool_switch(), "print the metrics of each run");
   po::variables_map values;
-  if (int code = parseWords(words, options, values, {"path"}); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values, {"path"}); code >= 0) return code;
   std::uint64_t first = 0, last = 0;
   if (!readSeeds(values["seeds"].as<std::string>(), first, last)) {
     std::fprintf(stderr, "--seeds requires FIRST-LAST with 1 <= FIRST <= LAST\n");
     return kExitUsage;
   }
   std::string path = values["path"].as<std::string>();
-  bool days = values["days"].as<bool>();
-  DaySize size;
-  size.requests = values["requests"].as<double>();
-  if (days == !path.empty()) {
+  bool randomSchedules = values["days"].as<bool>();
+  RandomScheduleSize size;
+  size.requestsPerSecond = values["requests"].as<double>();
+  if (randomSchedules == !path.empty()) {
     std::fprintf(stderr, "either a path or --days is required\n");
     return kExitUsage;
   }
-  if (days && values["print"].as<bool>()) {
+  if (randomSchedules && values["print"].as<bool>()) {
     for (std::uint64_t seed = first; seed <= last; ++seed)
-      std::printf("%s\n", drawDay(seed, size).text().c_str());
-    return kExitGood;
+      std::printf("%s\n", generateRandomSchedule(seed, size).text().c_str());
+    return kExitSuccess;
   }
   std::vector<std::string> files;
-  if (!days) files = std::filesystem::is_directory(path) ? scenarioFiles(path) : std::vector{path};
+  if (!randomSchedules)
+    files = std::filesystem::is_directory(path) ? scenarioFiles(path) : std::vector{path};
   std::vector<Scenario> scenarios;
   for (const auto& file : files) {
     auto scenario = loadScenario(file);
@@ -85,7 +87,7 @@
   std::vector<Job> jobs;
   for (const auto& scenario : scenarios)
     for (std::uint64_t seed = first; seed <= last; ++seed) jobs.push_back({&scenario, seed});
-  if (days)
+  if (randomSchedules)
     for (std::uint64_t seed = first; seed <= last; ++seed) jobs.push_back({nullptr, seed});
   if (jobs.empty()) {
     std::fprintf(stderr, "no scenarios found at '%s'\n", path.c_str());
@@ -98,8 +100,9 @@
   auto work = [&] {
     for (std::size_t index = next++; index < jobs.size(); index = next++) {
       const Job& job = jobs[index];
-      RunReport report = job.scenario != nullptr ? runScenario(*job.scenario, job.seed)
-                                                 : runDay(drawDay(job.seed, size));
+      RunReport report = job.scenario != nullptr
+                             ? runScenario(*job.scenario, job.seed)
+                             : runRandomSchedule(generateRandomSchedule(job.seed, size));
       std::lock_guard lock(mutex);
       for (const auto& [name, value] : report.figures)
         if (name.starts_with("bound.") && value >= bounds[name].first)
@@ -109,7 +112,8 @@
         std::printf("FAILED %s seed %llu\n", report.scenario.c_str(),
                     static_cast<unsigned long long>(report.seed));
         for (const auto& failure : report.failures) std::printf("    %s\n", failure.c_str());
-        if (job.scenario == nullptr && failed <= 3) printCutDown(drawDay(job.seed, size), report);
+        if (job.scenario == nullptr && failed <= 3)
+          printShrunk(generateRandomSchedule(job.seed, size), report);
         std::fflush(stdout);
       }
       if (!figures) continue;
@@ -127,7 +131,7 @@
     for (const auto& [name, worst] : bounds)
       std::printf("%s = %.3f s (%s)\n", name.c_str(), worst.first, worst.second.c_str());
   std::printf("%zu passed, %zu failed\n", jobs.size() - failed, failed.load());
-  return failed == 0 ? kExitGood : kExitFailed;
+  return failed == 0 ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace peppergate
--- a/src/app/router_rehearse_command.cc
+++ b/src/app/router_rehearse_command.cc
@@ -30,8 +30,8 @@
 };
 
 /// Makes one job for each scenario of a path and each seed; false if a scenario can't be read.
-bool gather(const std::string& path, std::uint64_t first, std::uint64_t last,
-            std::vector<Job>& jobs) {
+bool collectJobs(const std::string& path, std::uint64_t first, std::uint64_t last,
+                 std::vector<Job>& jobs) {
   auto files = std::filesystem::is_directory(path) ? scenarioFiles(path) : std::vector{path};
   for (const auto& file : files) {
     std::ifstream stream(file);
@@ -48,7 +48,7 @@
   return true;
 }
 
-void print(const RouterReport& report, bool figures) {
+void printReport(const RouterReport& report, bool figures) {
   auto seed = static_cast<unsigned long long>(report.seed);
   if (!report.failures.empty()) {
     std::printf("FAILED %s seed %llu\n", report.scenario.c_str(), seed);
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-int routerRehearseCommand(const Words& words) {
+int routerRehearseCommand(const Arguments& arguments) {
   po::options_description options("peppergate rehearse-routers FILE|FOLDER");
   options.add_options()("help", "print this help")(
       "path", po::value<std::string>()->default_value(""), "a scenario file, or a folder of them")(
@@ -75,32 +75,33 @@
       "jobs", po::value<unsigned>()->default_value(std::thread::hardware_concurrency()),
       "number of parallel runs")("figures", po::bool_switch(), "print the metrics of each run");
   po::variables_map values;
-  if (int code = parseWords(words, options, values, {"path"}); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values, {"path"}); code >= 0) return code;
   std::uint64_t first = 0, last = 0;
   std::string path = values["path"].as<std::string>();
-  bool days = values["days"].as<bool>();
-  if (!readSeeds(values["seeds"].as<std::string>(), first, last) || days == !path.empty()) {
+  bool randomSchedules = values["days"].as<bool>();
+  if (!readSeeds(values["seeds"].as<std::string>(), first, last) ||
+      randomSchedules == !path.empty()) {
     std::fprintf(stderr, "required: either a path or --days, and --seeds FIRST-LAST\n");
     return kExitUsage;
   }
   std::vector<Job> jobs;
-  if (days)
+  if (randomSchedules)
     for (std::uint64_t seed = first; seed <= last; ++seed)
-      jobs.push_back({drawRouterDay(seed), seed});
-  else if (!gather(path, first, last, jobs)) return kExitUsage;
-  if (days && values["print"].as<bool>()) {
+      jobs.push_back({generateRouterScenario(seed), seed});
+  else if (!collectJobs(path, first, last, jobs)) return kExitUsage;
+  if (randomSchedules && values["print"].as<bool>()) {
     for (const auto& job : jobs) std::printf("%s\n", job.scenario.text().c_str());
-    return kExitGood;
+    return kExitSuccess;
   }
   std::atomic<std::size_t> next{0}, failed{0};
   std::mutex mutex;
   bool figures = values["figures"].as<bool>();
   auto work = [&] {
     for (std::size_t index = next++; index < jobs.size(); index = next++) {
-      RouterReport report = runRouters(jobs[index].scenario, jobs[index].seed);
+      RouterReport report = runRouterScenario(jobs[index].scenario, jobs[index].seed);
       std::lock_guard lock(mutex);
       if (!report.failures.empty()) ++failed;
-      print(report, figures);
+      printReport(report, figures);
     }
   };
   std::vector<std::thread> threads;
@@ -108,7 +109,7 @@
     threads.emplace_back(work);
   for (auto& thread : threads) thread.join();
   std::printf("%zu passed, %zu failed\n", jobs.size() - failed, failed.load());
-  return failed == 0 ? kExitGood : kExitFailed;
+  return failed == 0 ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace peppergate
--- a/src/app/schedule_rehearse_command.cc
+++ b/src/app/schedule_rehearse_command.cc
@@ -14,8 +14,8 @@
 
 namespace po = boost::program_options;
 
-constexpr int kShrinkRuns = 60;         // at most, to shrink one failing schedule
-constexpr std::size_t kMostShrunk = 3;  // number of failing schedules that are shrunk
+constexpr int kMaxShrinkRuns = 60;              // at most, to shrink one failing schedule
+constexpr std::size_t kMaxShrunkSchedules = 3;  // number of failing schedules that are shrunk
 
 struct SeedRange {
   std::uint64_t first = 0, last = 0;
@@ -29,9 +29,9 @@
 }
 
 /// Runs all seeds and prints the failing schedules.
-class ScheduleRuns {
+class ScheduleRunner {
  public:
-  ScheduleRuns(Interface interface, SeedRange seeds, bool shrinks, bool figures)
+  ScheduleRunner(Interface interface, SeedRange seeds, bool shrinks, bool figures)
       : interface_(interface),
         seeds_(seeds),
         shrinks_(shrinks),
@@ -50,27 +50,27 @@
  private:
   void work() {
     for (std::uint64_t seed = next_++; seed <= seeds_.last; seed = next_++) {
-      MixedDay day = drawMixedDay(seed, interface_);
-      MixedReport report = runMixedDay(day);
-      if (!report.failures.empty()) print(day, report);
+      MixedSchedule day = generateMixedSchedule(seed, interface_);
+      MixedScheduleReport report = runMixedSchedule(day);
+      if (!report.failures.empty()) printFailure(day, report);
       if (figures_) printFigures(report);
     }
   }
 
-  void print(const MixedDay& day, const MixedReport& report) {
+  void printFailure(const MixedSchedule& day, const MixedScheduleReport& report) {
     std::size_t number = ++failed_;
-    MixedDay least = day;
-    bool shrunk = shrinks_ && number <= kMostShrunk;
-    if (shrunk) least = shrinkMixedDay(day, report, kShrinkRuns);
+    MixedSchedule smallest = day;
+    bool shrunk = shrinks_ && number <= kMaxShrunkSchedules;
+    if (shrunk) smallest = shrinkMixedSchedule(day, report, kMaxShrinkRuns);
     std::lock_guard lock(mutex_);
     std::printf("FAILED %s seed %llu\n", report.name.c_str(),
                 static_cast<unsigned long long>(report.seed));
     for (const auto& failure : report.failures) std::printf("    %s\n", failure.c_str());
-    if (shrunk) std::printf("---- shrunk schedule ----\n%s----\n", least.text().c_str());
+    if (shrunk) std::printf("---- shrunk schedule ----\n%s----\n", smallest.text().c_str());
     std::fflush(stdout);
   }
 
-  void printFigures(const MixedReport& report) {
+  void printFigures(const MixedScheduleReport& report) {
     std::lock_guard lock(mutex_);
     std::printf("%s seed %llu:", report.name.c_str(), static_cast<unsigned long long>(report.seed));
     for (const auto& [name, value] : report.figures) std::printf(" %s=%.4g", name.c_str(), value);
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-int scheduleRehearseCommand(const Words& words) {
+int scheduleRehearseCommand(const Arguments& arguments) {
   po::options_description options("peppergate rehearse-schedules streams|routers");
   options.add_options()("help", "print this help")(
       "interface", po::value<std::string>()->default_value(""), "streams or routers")(
@@ -98,7 +98,7 @@
       "jobs", po::value<unsigned>()->default_value(std::thread::hardware_concurrency()),
       "number of parallel runs");
   po::variables_map values;
-  if (int code = parseWords(words, options, values, {"interface"}); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values, {"interface"}); code >= 0) return code;
   std::string name = values["interface"].as<std::string>();
   SeedRange seeds;
   if (!readSeeds(values["seeds"].as<std::string>(), seeds) ||
@@ -109,16 +109,16 @@
   Interface interface = name == "routers" ? Interface::kRouters : Interface::kStreams;
   if (values["print"].as<bool>()) {
     for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed)
-      std::printf("%s\n", drawMixedDay(seed, interface).text().c_str());
-    return kExitGood;
+      std::printf("%s\n", generateMixedSchedule(seed, interface).text().c_str());
+    return kExitSuccess;
   }
   std::size_t failed =
-      ScheduleRuns(interface, seeds, values["shrink"].as<bool>(), values["figures"].as<bool>())
+      ScheduleRunner(interface, seeds, values["shrink"].as<bool>(), values["figures"].as<bool>())
 
           .run(values["jobs"].as<unsigned>());
   std::printf("%llu passed, %zu failed\n",
               static_cast<unsigned long long>(seeds.last - seeds.first + 1 - failed), failed);
-  return failed == 0 ? kExitGood : kExitFailed;
+  return failed == 0 ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace peppergate
--- a/src/app/standin_command.cc
+++ b/src/app/standin_command.cc
@@ -13,7 +13,7 @@
 
 namespace po = boost::program_options;
 
-int serve(Loop& loop, const absl::Status& opened) {
+int runUntilSignal(EventLoop& loop, const absl::Status& opened) {
   if (!opened.ok()) {
     std::fprintf(stderr, "%s\n", std::string(opened.message()).c_str());
     return kExitCannotStart;
@@ -21,63 +21,63 @@
   for (int signal : {SIGTERM, SIGINT}) loop.onSignal(signal, [&loop] { loop.stop(); });
   signal(SIGPIPE, SIG_IGN);
   loop.run();
-  return kExitGood;
+  return kExitSuccess;
 }
 
-int engine(const std::string& kind, const po::variables_map& values) {
-  EngineProcessSetup setup;
+int runEngine(const std::string& kind, const po::variables_map& values) {
+  EngineProcessConfig setup;
   setup.listen = {values["listen"].as<std::string>()};
   setup.id = values["id"].as<std::string>();
   setup.weights = {values["weights"].as<std::uint64_t>()};
-  setup.link = values["link"].as<double>();
-  setup.options.cacheParts = kind == "store" ? 4000 : values["cache"].as<std::size_t>();
-  Loop loop;
+  setup.linkMegabytesPerSecond = values["link"].as<double>();
+  setup.options.cacheBlocks = kind == "store" ? 4000 : values["cache"].as<std::size_t>();
+  EventLoop loop;
   EngineProcess process(loop, setup);
-  return serve(loop, process.open());
+  return runUntilSignal(loop, process.open());
 }
 
-int platform(const po::variables_map& values) {
+int runPlatform(const po::variables_map& values) {
   std::ifstream file(values["list"].as<std::string>());
   Json list = Json::parse(file, nullptr, false);
   if (list.is_discarded()) {
     std::fprintf(stderr, "--list: not readable JSON\n");
     return kExitUsage;
   }
-  Loop loop;
+  EventLoop loop;
   PlatformProcess process(loop, {values["listen"].as<std::string>()}, list);
-  return serve(loop, process.open());
+  return runUntilSignal(loop, process.open());
 }
 
-int requester(const po::variables_map& values) {
-  RequesterSetup setup;
+int runRequester(const po::variables_map& values) {
+  RequesterConfig setup;
   setup.profile = values["profile"].as<std::string>();
   setup.rate = values["rate"].as<double>();
-  setup.length = seconds(values["seconds"].as<double>());
+  setup.duration = seconds(values["seconds"].as<double>());
   setup.seed = values["seed"].as<std::uint64_t>();
-  setup.documents = values["documents"].as<std::uint64_t>();
+  setup.documentCount = values["documents"].as<std::uint64_t>();
   if (values.count("front") > 0)
     for (const auto& front : values["front"].as<std::vector<std::string>>())
-      setup.fronts.push_back({front});
-  if (setup.fronts.empty()) {
+      setup.routers.push_back({front});
+  if (setup.routers.empty()) {
     std::fprintf(stderr, "--front is required\n");
     return kExitUsage;
   }
   signal(SIGPIPE, SIG_IGN);
-  Loop loop;
+  EventLoop loop;
   RequesterProcess process(loop, setup);
-  bool clean = false;
+  bool passed = false;
   process.start([&](const Json& verdict) {
     std::printf("%s\n", verdict.dump(2).c_str());
-    clean = verdict["violations"].empty();
+    passed = verdict["violations"].empty();
     loop.stop();
   });
   loop.run();
-  return clean ? kExitGood : kExitFailed;
+  return passed ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace
 
-int standinCommand(const Words& words) {
+int standinCommand(const Arguments& arguments) {
   po::options_description options("peppergate standin engine|desk|store|platform|requester");
   options.add_options()("help", "print this help")("kind", po::value<std::string>()->required(),
                                                    "kind of the stand-in")(
@@ -101,11 +101,11 @@
       "front", po::value<std::vector<std::string>>()->composing(),
       "requester: IP:PORT of a router's client listener; may be repeated");
   po::variables_map values;
-  if (int code = parseWords(words, options, values, {"kind"}); code >= 0) return code;
+  if (int code = parseArguments(arguments, options, values, {"kind"}); code >= 0) return code;
   std::string kind = values["kind"].as<std::string>();
-  if (kind == "engine" || kind == "desk" || kind == "store") return engine(kind, values);
-  if (kind == "platform") return platform(values);
-  if (kind == "requester") return requester(values);
+  if (kind == "engine" || kind == "desk" || kind == "store") return runEngine(kind, values);
+  if (kind == "platform") return runPlatform(values);
+  if (kind == "requester") return runRequester(values);
   std::fprintf(stderr, "unknown stand-in '%s'\n", kind.c_str());
   return kExitUsage;
 }
--- a/src/config/fleet_config.cc
+++ b/src/config/fleet_config.cc
@@ -15,66 +15,66 @@
 
 void removeNamed(Json& items, const Json& names) {
   if (!items.is_array() || !names.is_array()) return;
-  std::set<std::string_view> gone;
+  std::set<std::string_view> removedNames;
   for (const auto& name : names)
-    if (name.is_string()) gone.insert(name.get_ref<const std::string&>());
+    if (name.is_string()) removedNames.insert(name.get_ref<const std::string&>());
   auto& list = items.get_ref<Json::array_t&>();
-  std::erase_if(list, [&gone](const Json& item) {
+  std::erase_if(list, [&removedNames](const Json& item) {
     const std::string* name = nameOf(item);
-    return name != nullptr && gone.contains(*name);
+    return name != nullptr && removedNames.contains(*name);
   });
 }
 
-void upsertNamed(Json& items, const Json& newer) {
+void upsertNamed(Json& items, const Json& replacements) {
   if (!items.is_array()) items = Json::array();
   auto& list = items.get_ref<Json::array_t&>();
-  ByText<std::size_t> places;
-  for (std::size_t place = 0; place < list.size(); ++place)
-    if (const std::string* name = nameOf(list[place])) places.emplace(*name, place);
-  for (const auto& item : newer) {
+  StringMap<std::size_t> indexes;
+  for (std::size_t index = 0; index < list.size(); ++index)
+    if (const std::string* name = nameOf(list[index])) indexes.emplace(*name, index);
+  for (const auto& item : replacements) {
     const std::string* name = nameOf(item);
-    auto found = name == nullptr ? places.end() : places.find(*name);
-    if (found != places.end()) {
+    auto found = name == nullptr ? indexes.end() : indexes.find(*name);
+    if (found != indexes.end()) {
       list[found->second] = item;
       continue;
     }
-    if (name != nullptr) places.emplace(*name, list.size());
+    if (name != nullptr) indexes.emplace(*name, list.size());
     list.push_back(item);
   }
 }
 
 }  // namespace
 
-std::string plainHost(std::string_view host) {
+std::string normalizeHost(std::string_view host) {
   bool bracketed = host.starts_with('[');  // an IPv6 address, which contains colons
   std::size_t end = host.find(bracketed ? ']' : ':');
   if (end != std::string_view::npos) host = host.substr(0, bracketed ? end + 1 : end);
-  std::string plain(host);
-  std::ranges::transform(plain, plain.begin(), [](char letter) {
+  std::string normalized(host);
+  std::ranges::transform(normalized, normalized.begin(), [](char letter) {
     return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
   });
-  return plain;
+  return normalized;
 }
 
 const Route* FleetConfig::route(std::string_view host, std::string_view path) const {
-  auto found = byHost.find(plainHost(host));
-  if (found == byHost.end()) return nullptr;
-  for (std::size_t length : found->second.lengths) {
+  auto found = routesByHost.find(normalizeHost(host));
+  if (found == routesByHost.end()) return nullptr;
+  for (std::size_t length : found->second.prefixLengths) {
     if (length > path.size()) continue;
-    auto place = found->second.byPrefix.find(path.substr(0, length));
-    if (place != found->second.byPrefix.end()) return &routes[place->second];
+    auto routeIndex = found->second.routeByPrefix.find(path.substr(0, length));
+    if (routeIndex != found->second.routeByPrefix.end()) return &routes[routeIndex->second];
   }
   return nullptr;
 }
 
 const TenantConfig* FleetConfig::tenantOfKey(std::string_view key) const {
-  auto found = keys.find(key);
-  if (found == keys.end()) return nullptr;
+  auto found = tenantByKey.find(key);
+  if (found == tenantByKey.end()) return nullptr;
   auto tenant = tenants.find(found->second);
   return tenant == tenants.end() ? nullptr : &tenant->second;
 }
 
-const ServiceConfig* FleetConfig::store() const {
+const ServiceConfig* FleetConfig::storeService() const {
   return storeName ? &services.at(*storeName) : nullptr;
 }
 
@@ -84,11 +84,11 @@
     for (const auto& [section, names] : remove->items())
       if (auto found = config.find(section); found != config.end()) removeNamed(*found, names);
   if (auto upsert = amendment.find("upsert"); upsert != amendment.end() && upsert->is_object())
-    for (const auto& [section, newer] : upsert->items()) {
-      if (newer.is_null()) continue;
+    for (const auto& [section, replacement] : upsert->items()) {
+      if (replacement.is_null()) continue;
       // Lists contain named items. Any other value, such as the limits, is replaced as a whole.
-      if (newer.is_array()) upsertNamed(config[section], newer);
-      else config[section] = newer;
+      if (replacement.is_array()) upsertNamed(config[section], replacement);
+      else config[section] = replacement;
     }
   if (auto version = amendment.find("version"); version != amendment.end())
     config["version"] = *version;
--- a/src/config/fleet_config.h
+++ b/src/config/fleet_config.h
@@ -35,45 +35,45 @@
   std::string host;
   std::string prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kUnsafe;
-  Duration timeout;    // after which a request is given up
-  Duration target;     // response time within which an answer has its full value
-  Duration gapTarget;  // longest pause between two events of a stream that counts as in time
-  int urgency = 5;     // 0 is most urgent
-  int attempts = 1;    // number of engines to which a request may be sent
-  bool open = false;   // requires no key
+  Duration timeout;         // after which a request is given up
+  Duration responseTarget;  // response time within which an answer has its full value
+  Duration eventGapTarget;  // longest pause between two events of a stream that counts as in time
+  int urgency = 5;          // 0 is most urgent
+  int attempts = 1;         // number of engines to which a request may be sent
+  bool allowsAnonymous = false;  // requires no key
   bool resumable = false;
   std::vector<ServiceShare> services;
-  bool repeatable() const {
+  bool isRepeatable() const {
     return kind == RouteKind::kSafe || (kind == RouteKind::kStream && resumable);
   }
 };
 
 /// The properties of a service's engines.
-struct EngineShape {
+struct EngineConfig {
   std::int64_t slots = 1;
   std::int64_t kvTokens = 0;      // capacity for running requests and cached prefix blocks together
   std::int64_t kvTokenBytes = 0;  // size of a token's key-value data when it is transferred
   double linkMbps = 0;            // bandwidth for transfers, in megabits per second
-  std::int64_t stride = 1;        // largest number of tokens in one event
-  std::int64_t largestPolls = 1;  // largest number of concurrent polls for events
+  std::int64_t maxTokensPerEvent = 1;   // largest number of tokens in one event
+  std::int64_t maxConcurrentPolls = 1;  // largest number of concurrent polls for events
   std::vector<ModelName> models;
 };
 
 /// A store of cached prefix blocks. It serves no requests.
-struct StoreShape {
+struct StoreConfig {
   Address address;
   Zone zone;
   std::int64_t kvTokens = 0;
   double linkMbps = 0;
-  std::int64_t largestPolls = 1;
+  std::int64_t maxConcurrentPolls = 1;
 };
 
 struct ServiceConfig {
   ServiceName name;
   std::string healthPath;
   std::int64_t connectionLimit = 0;  // per engine, for all clients together; 0: not set
-  std::optional<EngineShape> engine;
-  std::optional<StoreShape> store;
+  std::optional<EngineConfig> engine;
+  std::optional<StoreConfig> store;
 };
 
 struct TenantConfig {
@@ -91,19 +91,19 @@
 };
 
 /// Hashes strings and string views alike, so that a lookup needs no copy.
-struct TextHash {
+struct StringHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const {
     return std::hash<std::string_view>{}(text);
   }
 };
 template <class Value>
-using ByText = std::unordered_map<std::string, Value, TextHash, std::equal_to<>>;
+using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
 
 /// The routes of one host. A lookup tries each prefix length, the longest first.
 struct HostRoutes {
-  std::vector<std::size_t> lengths;
-  ByText<std::size_t> byPrefix;  // index of the route in the configuration
+  std::vector<std::size_t> prefixLengths;
+  StringMap<std::size_t> routeByPrefix;  // index of the route in the configuration
 };
 
 /// A validated configuration, indexed for lookups by requests.
@@ -112,9 +112,9 @@
   std::vector<Route> routes;
   std::map<ServiceName, ServiceConfig> services;
   std::map<TenantId, TenantConfig> tenants;
-  ByText<TenantId> keys;  // tenant by key
+  StringMap<TenantId> tenantByKey;  // tenant by key
   RequestLimits limits;
-  ByText<HostRoutes> byHost;  // keys are results of `plainHost`
+  StringMap<HostRoutes> routesByHost;  // keys are results of `normalizeHost`
   std::optional<ServiceName> storeName;
 
   /// The route with the longest prefix of the path, or nullptr if none matches. Hosts are compared
@@ -123,11 +123,11 @@
   /// The tenant that owns a key, or nullptr if the key is unknown.
   const TenantConfig* tenantOfKey(std::string_view key) const;
   /// The first service with a store, or nullptr if none is configured.
-  const ServiceConfig* store() const;
+  const ServiceConfig* storeService() const;
 };
 
 /// A host in lower case and without its port.
-std::string plainHost(std::string_view host);
+std::string normalizeHost(std::string_view host);
 
 /// Validates a whole configuration. Returns the first error with its field, for example
 /// "[routes][3][service]", or nothing if the configuration is valid.
--- a/src/core/acceptor.cc
+++ b/src/core/acceptor.cc
@@ -8,16 +8,16 @@
 
 namespace peppergate {
 
-std::string numbered(std::string_view prefix, std::uint64_t number) {
+std::string numberedFileName(std::string_view prefix, std::uint64_t number) {
   std::string digits = std::to_string(number);
   return std::string(prefix) + "." + std::string(20 - digits.size(), '0') + digits;
 }
 
-std::string sealed(std::string_view content) {
+std::string withChecksum(std::string_view content) {
   return digestText(content) + "\n" + std::string(content);
 }
 
-std::optional<std::string> opened(std::string_view file) {
+std::optional<std::string> verifiedContent(std::string_view file) {
   if (file.size() < 33 || file[32] != '\n') return std::nullopt;
   std::string content(file.substr(33));
   if (digestText(content) != file.substr(0, 32)) return std::nullopt;
@@ -34,211 +34,222 @@
     : options_(options),
       bootstrapper_(bootstrapper),
       durable_(std::move(record)),
-      grantsNothingUntil_(started) {
+      noGrantsUntil_(started) {
   // The process may have renewed a lease just before it ended, so it grants nothing for the length
   // of a lease. A promise is on disk before it is answered: an acceptor without any granted
   // nothing.
-  bool untouched = durable_.promised.value == 0 && durable_.accepted.epoch.value == 0;
-  if (!untouched) grantsNothingUntil_ = started + options.lease;
+  bool hasNoPromise = durable_.promised.value == 0 && durable_.accepted.epoch.value == 0;
+  if (!hasNoPromise) noGrantsUntil_ = started + options.lease;
 }
 
-bool Acceptor::grantedToOther(CoreId core, MonotonicTime now) const {
+bool Acceptor::leasedToOther(CoreId core, MonotonicTime now) const {
   if (options_.faults.has(ControlFault::kLeaseNotWaitedOut)) return false;
-  if (grantIsReadLease_ && !options_.guards(Guard::kOneGrant)) return false;
-  return now < grantsNothingUntil_ || (grantedTo_ != core && now < grantedUntil_);
+  if (grantIsReadLease_ && !options_.isGuardEnabled(SafetyGuard::kOneGrant)) return false;
+  return now < noGrantsUntil_ || (grantedTo_ != core && now < grantedUntil_);
 }
 
-void Acceptor::grant(CoreId core, MonotonicTime now) {
-  if (now < grantsNothingUntil_) return;
+void Acceptor::grantLease(CoreId core, MonotonicTime now) {
+  if (now < noGrantsUntil_) return;
   grantedTo_ = core;
   grantedUntil_ = now + options_.lease;
   grantIsReadLease_ = false;
 }
 
-void Acceptor::notice(MonotonicTime now) {
+void Acceptor::extendLeaseAfterClockJump(MonotonicTime now) {
   // After a stall or a jump of the clock the time that really passed is unknown: a lease that was
   // granted before is extended by its full length from now.
-  bool leapt = lastNotice_ != kNever && now - lastNotice_ > seconds(0.4);
-  if (leapt && lastNotice_ < grantedUntil_ && options_.guards(Guard::kClockLeap))
+  bool clockJumped = lastTick_ != kNever && now - lastTick_ > seconds(0.4);
+  if (clockJumped && lastTick_ < grantedUntil_ && options_.isGuardEnabled(SafetyGuard::kClockLeap))
     grantedUntil_ = std::max(grantedUntil_, now + options_.lease);
-  lastNotice_ = now;
+  lastTick_ = now;
 }
 
 bool Acceptor::grantReadLease(CoreId core, const View& view, MonotonicTime sentAt,
                               MonotonicTime now) {
-  const View& mine = durable_.accepted;
-  bool equal = mine.epoch == view.epoch && mine.primary == view.primary;
-  equal = (equal && !inFlight_) || !options_.guards(Guard::kEqualViews);
-  bool seat = votesIn(mine, durable_.identity);
-  bool other = grantedToOther(core, now) && options_.guards(Guard::kOneGrant);
-  if (suspect_ || !equal || !seat || other || now < grantsNothingUntil_) return false;
-  grant(core, now);
+  const View& acceptedView = durable_.accepted;
+  bool viewsAreEqual = acceptedView.epoch == view.epoch && acceptedView.primary == view.primary;
+  viewsAreEqual = (viewsAreEqual && !requestBeingWritten_) ||
+                  !options_.isGuardEnabled(SafetyGuard::kEqualViews);
+  bool isVoter = isVoterIn(acceptedView, durable_.identity);
+  bool leasedElsewhere =
+      leasedToOther(core, now) && options_.isGuardEnabled(SafetyGuard::kOneGrant);
+  if (diskSuspect_ || !viewsAreEqual || !isVoter || leasedElsewhere || now < noGrantsUntil_)
+    return false;
+  grantLease(core, now);
   grantIsReadLease_ = true;
   readLeaseSentAt_ = sentAt;
   return true;
 }
 
-bool Acceptor::mayPromise(const PrepareRequest& ask, MonotonicTime now) const {
+bool Acceptor::mayPromise(const PrepareRequest& request, MonotonicTime now) const {
   // Only cores that took part in the first start bootstrap the fleet, and only before it has a
   // backup.
   bool allowed =
-      ask.kind != PrepareKind::kBootstrap || (bootstraps() && isBootstrap(durable_.accepted));
-  return allowed && !suspect_ && !grantedToOther(ask.candidate, now) &&
-         ask.epoch > durable_.promised;
-}
-
-bool Acceptor::mayAccept(const AcceptRequest& ask, MonotonicTime now) const {
-  if (suspect_) return false;
-  if (ask.bootstrap && bootstraps() && !isBootstrap(durable_.accepted)) return false;
-  if (ask.bootstrap && !bootstraps()) {
-    bool untouched = durable_.accepted.epoch.value == 0 && durable_.promised.value == 0;
-    bool again =
-        durable_.accepted.epoch == ask.view.epoch && durable_.accepted.primary == ask.view.primary;
-    return untouched || again;
+      request.kind != PrepareKind::kBootstrap || (mayBootstrap() && isBootstrap(durable_.accepted));
+  return allowed && !diskSuspect_ && !leasedToOther(request.candidate, now) &&
+         request.epoch > durable_.promised;
+}
+
+bool Acceptor::mayAccept(const AcceptRequest& request, MonotonicTime now) const {
+  if (diskSuspect_) return false;
+  if (request.bootstrap && mayBootstrap() && !isBootstrap(durable_.accepted)) return false;
+  if (request.bootstrap && !mayBootstrap()) {
+    bool hasNoPromise = durable_.accepted.epoch.value == 0 && durable_.promised.value == 0;
+    bool alreadyAccepted = durable_.accepted.epoch == request.view.epoch &&
+                           durable_.accepted.primary == request.view.primary;
+    return hasNoPromise || alreadyAccepted;
   }
-  bool waits = !options_.faults.has(ControlFault::kLeaseNotWaitedOut);
-  if (waits && grantedTo_ != ask.view.primary && now < grantedUntil_) return false;
-  if (ask.view.epoch == durable_.promised) return durable_.promisedTo == ask.view.primary;
-  return ask.view.epoch > durable_.promised;
+  bool respectsLeases = !options_.faults.has(ControlFault::kLeaseNotWaitedOut);
+  if (respectsLeases && grantedTo_ != request.view.primary && now < grantedUntil_) return false;
+  if (request.view.epoch == durable_.promised) return durable_.promisedTo == request.view.primary;
+  return request.view.epoch > durable_.promised;
 }
 
-void Acceptor::write(AcceptorRecord next, Waiting waiting, MonotonicTime now, Outbox& outbox) {
-  writing_ = std::move(next);
-  inFlight_ = std::move(waiting);
+void Acceptor::startWrite(AcceptorRecord next, PendingRequest pending, MonotonicTime now,
+                          Outbox& outbox) {
+  recordBeingWritten_ = std::move(next);
+  requestBeingWritten_ = std::move(pending);
   writingSince_ = now;
-  ticket_ = outbox.ticket();
+  ticket_ = outbox.newTicket();
   // At most one promise and one acceptance are written for an epoch, so file numbers only rise.
-  bool accepting = writing_.accepted.epoch == writing_.promised;
-  outbox.push(WriteFile{ticket_, numbered("voter", writing_.promised.value * 2 + accepting),
-                        sealed(toJson(writing_).dump())});
-  if (options_.faults.has(ControlFault::kSyncSkipped)) written({ticket_, true}, now, outbox);
+  bool accepting = recordBeingWritten_.accepted.epoch == recordBeingWritten_.promised;
+  outbox.push(WriteFile{
+      ticket_, numberedFileName("voter", recordBeingWritten_.promised.value * 2 + accepting),
+      withChecksum(toJson(recordBeingWritten_).dump())});
+  if (options_.faults.has(ControlFault::kSyncSkipped)) completeWrite({ticket_, true}, now, outbox);
 }
 
-void Acceptor::replyToPrepare(const Address& to, const PrepareRequest& ask, bool granted,
+void Acceptor::replyToPrepare(const Address& to, const PrepareRequest& request, bool granted,
                               Outbox& outbox) {
   outbox.count(granted ? "acceptor.promises" : "acceptor.rejections");
-  outbox.send(to, PrepareReply{ask.epoch, durable_.identity, ask.sentAt, granted, durable_.promised,
-                               durable_.accepted});
+  outbox.send(to, PrepareReply{request.epoch, durable_.identity, request.sentAt, granted,
+                               durable_.promised, durable_.accepted});
 }
 
-void Acceptor::replyToAccept(const Address& to, const AcceptRequest& ask, bool accepted,
+void Acceptor::replyToAccept(const Address& to, const AcceptRequest& request, bool accepted,
                              Outbox& outbox) {
-  outbox.send(to, AcceptReply{ask.view.epoch, durable_.identity, accepted, durable_.promised});
+  outbox.send(to, AcceptReply{request.view.epoch, durable_.identity, accepted, durable_.promised});
 }
 
-void Acceptor::released(const PrepareRequest& ask) {
+void Acceptor::handleRelease(const PrepareRequest& request) {
   // A delayed release must not end a lease that was granted after it was sent: one of a higher
   // epoch, or a newer read lease of the same read-only leader.
-  if (ask.epoch.value == 0) {
+  if (request.epoch.value == 0) {
     // A read-only leader names the last request with which it asked for the lease.
-    if (grantIsReadLease_ && ask.sentAt == readLeaseSentAt_) release(ask.candidate);
+    if (grantIsReadLease_ && request.sentAt == readLeaseSentAt_) release(request.candidate);
     return;
   }
-  bool same = ask.epoch == durable_.promised && ask.candidate == durable_.promisedTo;
-  if (same && !inFlight_ && !grantIsReadLease_) release(ask.candidate);
+  bool isNewestPromise =
+      request.epoch == durable_.promised && request.candidate == durable_.promisedTo;
+  if (isNewestPromise && !requestBeingWritten_ && !grantIsReadLease_) release(request.candidate);
 }
 
-void Acceptor::ask(const Address& from, const PrepareRequest& ask, MonotonicTime now,
-                   Outbox& outbox) {
-  if (ask.kind == PrepareKind::kRelease) {
-    released(ask);
+void Acceptor::handle(const Address& from, const PrepareRequest& request, MonotonicTime now,
+                      Outbox& outbox) {
+  if (request.kind == PrepareKind::kRelease) {
+    handleRelease(request);
     return;
   }
-  bool renewal = ask.epoch == durable_.promised && ask.candidate == durable_.promisedTo;
+  bool renewal = request.epoch == durable_.promised && request.candidate == durable_.promisedTo;
   // While a promise to another candidate is being written, this vote belongs to that candidate,
   // even if the write takes longer than a lease.
-  bool promisesOther = inFlight_ && writing_.promisedTo != ask.candidate;
-  if (renewal && !promisesOther && !suspect_ && !grantedToOther(ask.candidate, now)) {
-    grant(ask.candidate, now);
-    replyToPrepare(from, ask, true, outbox);
+  bool writingOtherPromise =
+      requestBeingWritten_ && recordBeingWritten_.promisedTo != request.candidate;
+  if (renewal && !writingOtherPromise && !diskSuspect_ && !leasedToOther(request.candidate, now)) {
+    grantLease(request.candidate, now);
+    replyToPrepare(from, request, true, outbox);
     return;
   }
-  if (inFlight_) {
-    if (queue_.size() < 16) queue_.push_back({from, ask});
+  if (requestBeingWritten_) {
+    if (queuedRequests_.size() < 16) queuedRequests_.push_back({from, request});
     return;
   }
-  if (!mayPromise(ask, now)) {
-    replyToPrepare(from, ask, false, outbox);
+  if (!mayPromise(request, now)) {
+    replyToPrepare(from, request, false, outbox);
     return;
   }
   // The lease excludes other candidates from now on, before the promise is on disk.
-  grant(ask.candidate, now);
+  grantLease(request.candidate, now);
   AcceptorRecord next = durable_;
-  next.promised = ask.epoch;
-  next.promisedTo = ask.candidate;
-  write(std::move(next), {from, ask}, now, outbox);
+  next.promised = request.epoch;
+  next.promisedTo = request.candidate;
+  startWrite(std::move(next), {from, request}, now, outbox);
 }
 
-void Acceptor::ask(const Address& from, const AcceptRequest& ask, MonotonicTime now,
-                   Outbox& outbox) {
-  if (inFlight_) {
-    if (queue_.size() < 16) queue_.push_back({from, ask});
+void Acceptor::handle(const Address& from, const AcceptRequest& request, MonotonicTime now,
+                      Outbox& outbox) {
+  if (requestBeingWritten_) {
+    if (queuedRequests_.size() < 16) queuedRequests_.push_back({from, request});
     return;
   }
   // One epoch has one view; a second one of the same epoch would be a fork.
-  if (nowSettled(ask.view)) {  // it was chosen before any promise that was given since
+  if (isNewlySettled(request.view)) {  // it was chosen before any promise that was given since
     AcceptorRecord next = durable_;
-    next.accepted = ask.view;
-    write(std::move(next), {from, ask}, now, outbox);
+    next.accepted = request.view;
+    startWrite(std::move(next), {from, request}, now, outbox);
     return;
   }
-  bool decided = durable_.accepted.epoch == ask.view.epoch && durable_.accepted.epoch.value != 0;
-  bool again = decided && durable_.accepted == ask.view && !suspect_;
-  if (decided || !mayAccept(ask, now)) {
-    replyToAccept(from, ask, again, outbox);
+  bool decided =
+      durable_.accepted.epoch == request.view.epoch && durable_.accepted.epoch.value != 0;
+  bool alreadyAccepted = decided && durable_.accepted == request.view && !diskSuspect_;
+  if (decided || !mayAccept(request, now)) {
+    replyToAccept(from, request, alreadyAccepted, outbox);
     return;
   }
-  grant(ask.view.primary, now);
+  grantLease(request.view.primary, now);
   AcceptorRecord next = durable_;
-  next.promised = ask.view.epoch;
-  next.promisedTo = ask.view.primary;
-  next.accepted = ask.view;
-  write(std::move(next), {from, ask}, now, outbox);
+  next.promised = request.view.epoch;
+  next.promisedTo = request.view.primary;
+  next.accepted = request.view;
+  startWrite(std::move(next), {from, request}, now, outbox);
 }
 
-bool Acceptor::nowSettled(const View& view) const {
-  if (suspect_ || durable_.accepted.formerVoters.empty()) return false;
+bool Acceptor::isNewlySettled(const View& view) const {
+  if (diskSuspect_ || durable_.accepted.formerVoters.empty()) return false;
   View settled = durable_.accepted;
   settled.formerVoters.clear();
   return view == settled;
 }
 
-bool Acceptor::written(const FileWritten& event, MonotonicTime now, Outbox& outbox) {
-  if (!inFlight_ || event.ticket != ticket_) return false;
-  Waiting waiting = std::move(*inFlight_);
-  inFlight_.reset();
-  if (!event.synced && options_.guards(Guard::kSyncFailure)) {
-    suspect_ = true;
-    queue_.clear();
+bool Acceptor::completeWrite(const FileWritten& event, MonotonicTime now, Outbox& outbox) {
+  if (!requestBeingWritten_ || event.ticket != ticket_) return false;
+  PendingRequest completed = std::move(*requestBeingWritten_);
+  requestBeingWritten_.reset();
+  if (!event.synced && options_.isGuardEnabled(SafetyGuard::kSyncFailure)) {
+    diskSuspect_ = true;
+    queuedRequests_.clear();
     outbox.push(
-        NoteState{"voter: a sync failed; the disk is suspect and this voter no longer votes"});
+        LogState{"voter: a sync failed; the disk is suspect and this voter no longer votes"});
     return true;
   }
-  outbox.push(DropOlder{"voter", 2});
-  durable_ = writing_;
-  if (auto* promise = std::get_if<PrepareRequest>(&waiting.ask)) {
-    bool free = !grantedToOther(promise->candidate, now);
-    if (free) grant(promise->candidate, now);
-    replyToPrepare(waiting.from, *promise, free, outbox);
+  outbox.push(RemoveOlderFiles{"voter", 2});
+  durable_ = recordBeingWritten_;
+  if (auto* promise = std::get_if<PrepareRequest>(&completed.request)) {
+    bool granted = !leasedToOther(promise->candidate, now);
+    if (granted) grantLease(promise->candidate, now);
+    replyToPrepare(completed.from, *promise, granted, outbox);
   } else {
-    replyToAccept(waiting.from, std::get<AcceptRequest>(waiting.ask), true, outbox);
+    replyToAccept(completed.from, std::get<AcceptRequest>(completed.request), true, outbox);
   }
-  while (!queue_.empty() && !inFlight_) {
-    Waiting next = std::move(queue_.front());
-    queue_.pop_front();
-    if (auto* asked = std::get_if<PrepareRequest>(&next.ask)) ask(next.from, *asked, now, outbox);
-    else ask(next.from, std::get<AcceptRequest>(next.ask), now, outbox);
+  while (!queuedRequests_.empty() && !requestBeingWritten_) {
+    PendingRequest next = std::move(queuedRequests_.front());
+    queuedRequests_.pop_front();
+    if (auto* prepare = std::get_if<PrepareRequest>(&next.request))
+      handle(next.from, *prepare, now, outbox);
+    else handle(next.from, std::get<AcceptRequest>(next.request), now, outbox);
   }
   return true;
 }
 
 bool Acceptor::allowsReplica(Epoch epoch, CoreId from) const {
-  if (suspect_) return false;
-  Epoch promised = inFlight_ ? std::max(durable_.promised, writing_.promised) : durable_.promised;
+  if (diskSuspect_) return false;
+  Epoch promised = requestBeingWritten_ ? std::max(durable_.promised, recordBeingWritten_.promised)
+                                        : durable_.promised;
   if (epoch != promised) return epoch > promised;
-  CoreId to =
-      inFlight_ && writing_.promised == promised ? writing_.promisedTo : durable_.promisedTo;
-  return to == from;
+  CoreId promisedTo = requestBeingWritten_ && recordBeingWritten_.promised == promised
+                          ? recordBeingWritten_.promisedTo
+                          : durable_.promisedTo;
+  return promisedTo == from;
 }
 
 }  // namespace peppergate
--- a/src/core/acceptor.h
+++ b/src/core/acceptor.h
@@ -14,10 +14,11 @@
 /// of its first start.
 /// Example: `Bootstrap{true, {{"10.0.0.1:7100"}, {"10.0.0.2:7100"}, {"10.0.0.3:7100"}}}`.
 struct Bootstrap {
-  bool first = false;           // the first start of the whole fleet
+  bool createsFleet = false;    // the first start of the whole fleet
   std::vector<Address> voters;  // at most three, the same list at each; the first campaigns first
-  std::size_t cores = 0;        // instead of a list: bootstrap once exactly so many cores are known
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(first) PEPPERGATE_FIELD(voters))
+  std::size_t expectedCores =
+      0;  // instead of a list: bootstrap once exactly so many cores are known
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD_AS(createsFleet, "first") PEPPERGATE_FIELD(voters))
 };
 
 /// Whether a view is a bootstrap view: it has no backup, so nothing was ever acknowledged in it.
@@ -45,19 +46,20 @@
            bool bootstrapper = false);
 
   /// Answers a request for a promise or its renewal, or takes a release.
-  void ask(const Address& from, const PrepareRequest& ask, MonotonicTime now, Outbox& outbox);
+  void handle(const Address& from, const PrepareRequest& request, MonotonicTime now,
+              Outbox& outbox);
   /// Answers a request to accept a view.
-  void ask(const Address& from, const AcceptRequest& ask, MonotonicTime now, Outbox& outbox);
+  void handle(const Address& from, const AcceptRequest& request, MonotonicTime now, Outbox& outbox);
   /// Completes a write; returns whether the ticket was the acceptor's.
-  bool written(const FileWritten& event, MonotonicTime now, Outbox& outbox);
+  bool completeWrite(const FileWritten& event, MonotonicTime now, Outbox& outbox);
 
   /// Whether this is the accepted view in its settled form, and the acceptor doesn't have it on
   /// disk as settled yet.
-  bool nowSettled(const View& view) const;
+  bool isNewlySettled(const View& view) const;
   /// What is on disk for certain; a write under way doesn't count.
   const AcceptorRecord& record() const { return durable_; }
   /// Whether another core than this one may have a lease now.
-  bool grantedToOther(CoreId core, MonotonicTime now) const;
+  bool leasedToOther(CoreId core, MonotonicTime now) const;
   /// Whether a backup may still take a replica of this epoch from this core.
   bool allowsReplica(Epoch epoch, CoreId from) const;
   /// The candidate on this machine gave up and has no lease: this vote is free at once.
@@ -70,52 +72,56 @@
   /// Who has an unexpired lease of this acceptor; 0: nobody. Sent along with a rejection.
   CoreId grantedTo(MonotonicTime now) const { return now < grantedUntil_ ? grantedTo_ : CoreId{}; }
   /// Whether its disk works, so that it votes. Sent along with each answer to a read-only leader.
-  bool votes() const { return !suspect_; }
+  bool canVote() const { return !diskSuspect_; }
   /// Extends the lease if the clock jumped between two ticks, so that a jump doesn't end it early.
   /// Called first in each tick.
-  void notice(MonotonicTime now);
+  void extendLeaseAfterClockJump(MonotonicTime now);
   /// The disk is bad: the acceptor doesn't vote any more until the process is restarted.
-  void suspect() { suspect_ = true; }
+  void markDiskSuspect() { diskSuspect_ = true; }
   /// When the write under way began; `kForever` if there is none.
-  MonotonicTime writingSince() const { return inFlight_ ? writingSince_ : kForever; }
+  MonotonicTime writingSince() const { return requestBeingWritten_ ? writingSince_ : kForever; }
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     Address from;
-    std::variant<PrepareRequest, AcceptRequest> ask;
+    std::variant<PrepareRequest, AcceptRequest> request;
   };
-  bool bootstraps() const { return bootstrapper_ || !options_.guards(Guard::kBootstrappers); }
-  bool mayPromise(const PrepareRequest& ask, MonotonicTime now) const;
-  bool mayAccept(const AcceptRequest& ask, MonotonicTime now) const;
-  void write(AcceptorRecord next, Waiting waiting, MonotonicTime now, Outbox& outbox);
-  void replyToPrepare(const Address& to, const PrepareRequest& ask, bool granted, Outbox& outbox);
-  void replyToAccept(const Address& to, const AcceptRequest& ask, bool accepted, Outbox& outbox);
-  void grant(CoreId core, MonotonicTime now);
-  void released(const PrepareRequest& ask);
+  bool mayBootstrap() const {
+    return bootstrapper_ || !options_.isGuardEnabled(SafetyGuard::kBootstrappers);
+  }
+  bool mayPromise(const PrepareRequest& request, MonotonicTime now) const;
+  bool mayAccept(const AcceptRequest& request, MonotonicTime now) const;
+  void startWrite(AcceptorRecord next, PendingRequest pending, MonotonicTime now, Outbox& outbox);
+  void replyToPrepare(const Address& to, const PrepareRequest& request, bool granted,
+                      Outbox& outbox);
+  void replyToAccept(const Address& to, const AcceptRequest& request, bool accepted,
+                     Outbox& outbox);
+  void grantLease(CoreId core, MonotonicTime now);
+  void handleRelease(const PrepareRequest& request);
 
   Options options_;
   bool bootstrapper_;
   AcceptorRecord durable_;
-  AcceptorRecord writing_;
-  std::optional<Waiting> inFlight_;
+  AcceptorRecord recordBeingWritten_;
+  std::optional<PendingRequest> requestBeingWritten_;
   MonotonicTime writingSince_ = kForever;
   TicketId ticket_;
-  std::deque<Waiting> queue_;
-  MonotonicTime grantsNothingUntil_;  // one lease from the start of the process
+  std::deque<PendingRequest> queuedRequests_;
+  MonotonicTime noGrantsUntil_;  // one lease from the start of the process
   CoreId grantedTo_;
   MonotonicTime grantedUntil_ = kNever;
   bool grantIsReadLease_ = false;
   MonotonicTime readLeaseSentAt_ = kNever;  // by the read-only leader's clock
-  MonotonicTime lastNotice_ = kNever;
-  bool suspect_ = false;
+  MonotonicTime lastTick_ = kNever;
+  bool diskSuspect_ = false;
 };
 
 /// A file name with a zero-padded number, so that names sort by it. Example: `numbered("voter",
 /// 7)`.
-std::string numbered(std::string_view prefix, std::uint64_t number);
+std::string numberedFileName(std::string_view prefix, std::uint64_t number);
 /// The content of a file with its checksum in front.
-std::string sealed(std::string_view content);
+std::string withChecksum(std::string_view content);
 /// The content without its checksum; empty if the checksum doesn't match, as after a torn write.
-std::optional<std::string> opened(std::string_view file);
+std::optional<std::string> verifiedContent(std::string_view file);
 
 }  // namespace peppergate
--- a/src/core/collaborators.h
+++ b/src/core/collaborators.h
@@ -16,7 +16,7 @@
 
 struct MembershipCollaborators {
   Random& random_;
-  std::function<void(Shuffle&)> carrier_{};
+  std::function<void(Shuffle&)> fillShuffle_{};
   explicit MembershipCollaborators(Random& random) : random_(random) {}
   MembershipCollaborators(const MembershipCollaborators&) = delete;
   MembershipCollaborators& operator=(const MembershipCollaborators&) { return *this; }
--- a/src/core/control_changes.h
+++ b/src/core/control_changes.h
@@ -13,13 +13,13 @@
 using Applier = std::optional<ChangeReply> (*)(Json& body, const Json& change);
 
 /// Returns the applier for a kind of change; null for kinds that change the fleet's configuration.
-Applier applierOf(std::string_view kind);
+Applier applierFor(std::string_view kind);
 /// Builds a reply with an outcome other than kDone.
-ChangeReply faultAnswer(ChangeOutcome outcome, std::string field, std::string detail);
+ChangeReply rejectionReply(ChangeOutcome outcome, std::string field, std::string detail);
 /// Builds the reply to a change with an invalid field; `field` is its path, such as "[setup]".
-ChangeReply invalid(std::string field, std::string detail);
+ChangeReply invalidReply(std::string field, std::string detail);
 /// Describes the effect of a dry run: JSON patches of the setup and weights sections. Keys are
 /// secrets, so only their counts are reported.
-std::string whatWouldChange(const Json& before, const Json& after);
+std::string describeDryRun(const Json& before, const Json& after);
 
 }  // namespace peppergate
--- a/src/core/control_state.cc
+++ b/src/core/control_state.cc
@@ -8,18 +8,18 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kEarlierKept = 3;
+constexpr std::size_t kMaxEarlierSetups = 3;
 
-bool changesFleet(std::string_view kind) { return kind == "replace" || kind == "amend"; }
+bool changesFleetConfig(std::string_view kind) { return kind == "replace" || kind == "amend"; }
 
 /// Whether a change of this kind that was accepted once would be accepted at any later time, too.
-bool neverRefused(std::string_view kind) {
+bool isAlwaysAccepted(std::string_view kind) {
   return kind == "model-version" || kind == "key-withdraw";
 }
 
 /// The version of the fleet's configuration that a change carries, if it carries one.
-std::optional<ConfigVersion> numberOf(std::string_view kind, const Json& change) {
-  if (!changesFleet(kind)) return std::nullopt;
+std::optional<ConfigVersion> carriedConfigVersion(std::string_view kind, const Json& change) {
+  if (!changesFleetConfig(kind)) return std::nullopt;
   auto part = change.find(kind == "replace" ? "config" : "amendment");
   if (part == change.end() || !part->is_object()) return std::nullopt;
   auto version = part->find("version");
@@ -27,7 +27,7 @@
   return ConfigVersion{version->get<std::uint64_t>()};
 }
 
-ChangeReply done(const SectionVersion& version) {
+ChangeReply doneReply(const SectionVersion& version) {
   ChangeReply answer;
   answer.outcome = ChangeOutcome::kDone;
   answer.version = version;
@@ -41,7 +41,7 @@
 }
 
 /// The length of one list of a configuration, such as "routes".
-std::size_t countOf(const std::shared_ptr<const Json>& config, const char* list) {
+std::size_t listLength(const std::shared_ptr<const Json>& config, const char* list) {
   if (!config) return 0;
   auto found = config->find(list);
   return found == config->end() ? 0 : found->size();
@@ -52,43 +52,43 @@
 ControlState::ControlState() {
   static const auto kNoBody = std::make_shared<const Json>(Json::object());
   static const auto kNoText = std::make_shared<const std::string>();
-  body_ = kNoBody;
-  bareSetupText_ = fleetText_ = setupText_ = keysText_ = weightsText_ = kNoText;
-  remembered_ = std::make_shared<RememberedChanges>();
+  sectionsJson_ = kNoBody;
+  setupWithoutFleetText_ = fleetConfigText_ = setupText_ = keysText_ = weightsText_ = kNoText;
+  rememberedChanges_ = std::make_shared<RememberedChanges>();
 }
 
-ControlState::Text ControlState::write(const Json& value) {
+ControlState::Text ControlState::serializeSection(const Json& value) {
   auto text = std::make_shared<const std::string>(value.dump());
-  bytesWritten_ += text->size();
+  serializedBytes_ += text->size();
   return text;
 }
 
-void ControlState::joinSetup() {
+void ControlState::rebuildSetupText() {
   // The configuration is the last field of the section, so that the setup and the configuration can
   // be serialized independently of each other.
-  setupText_ = bareSetupText_;
-  if (!fleet_) return;
+  setupText_ = setupWithoutFleetText_;
+  if (!fleetConfig_) return;
   std::string joined;
-  joined.reserve(bareSetupText_->size() + fleetText_->size() + 16);
-  joined.append(*bareSetupText_, 0, bareSetupText_->size() - 1);
+  joined.reserve(setupWithoutFleetText_->size() + fleetConfigText_->size() + 16);
+  joined.append(*setupWithoutFleetText_, 0, setupWithoutFleetText_->size() - 1);
   if (joined.size() > 1) joined += ',';
   joined += "\"fleet\":";
-  joined += *fleetText_;
+  joined += *fleetConfigText_;
   joined += '}';
   setupText_ = std::make_shared<const std::string>(std::move(joined));
 }
 
-void ControlState::writeSections() {
-  bareSetupText_ = write(body_->at("setup"));
-  keysText_ = write(body_->at("keys"));
-  weightsText_ = write(body_->at("weights"));
-  if (fleet_) fleetText_ = write(*fleet_);
-  joinSetup();
+void ControlState::serializeSections() {
+  setupWithoutFleetText_ = serializeSection(sectionsJson_->at("setup"));
+  keysText_ = serializeSection(sectionsJson_->at("keys"));
+  weightsText_ = serializeSection(sectionsJson_->at("weights"));
+  if (fleetConfig_) fleetConfigText_ = serializeSection(*fleetConfig_);
+  rebuildSetupText();
 }
 
-ControlState ControlState::founded(Epoch epoch) {
+ControlState ControlState::initial(Epoch epoch) {
   ControlState state;
-  state.body_ = std::make_shared<const Json>(
+  state.sectionsJson_ = std::make_shared<const Json>(
       Json{{"setup",
             {{"rungs", Json::array({{{"name", "whole"}, {"rate", 8.0}}})},
              {"classes", Json::object()},
@@ -98,7 +98,7 @@
            {"weights", {{"version", 1}, {"label", "first"}, {"models", Json::object()}}}});
   state.version_ = {epoch, {1}};
   state.sections_ = {state.version_, state.version_, state.version_};
-  state.writeSections();
+  state.serializeSections();
   return state;
 }
 
@@ -111,36 +111,37 @@
     fromJson(document.at("version"), state.version_);
     fromJson(document.at("sections"), state.sections_);
     Json& body = document.at("body");
-    *state.remembered_ =
-        RememberedChanges::read(body.at("changes"), body.value("forgotten", Json()));
+    *state.rememberedChanges_ =
+        RememberedChanges::parse(body.at("changes"), body.value("forgotten", Json()));
     for (const auto& earlier : body.value("earlier", Json::array()))
       if (auto version = parseVersion(earlier.at("version")))
-        state.earlier_.push_back({*version, state.write(earlier.at("setup"))});
+        state.earlierSetups_.push_back({*version, state.serializeSection(earlier.at("setup"))});
     Json& setup = body.at("setup");
     if (auto fleet = setup.find("fleet"); fleet != setup.end()) {
-      state.fleetVersion_ = {fleet->at("version").get<std::uint64_t>()};
-      state.fleet_ = std::make_shared<const Json>(std::move(*fleet));
+      state.fleetConfigVersion_ = {fleet->at("version").get<std::uint64_t>()};
+      state.fleetConfig_ = std::make_shared<const Json>(std::move(*fleet));
       setup.erase(fleet);
     }
-    state.body_ = std::make_shared<const Json>(Json{{"setup", std::move(setup)},
-                                                    {"keys", std::move(body.at("keys"))},
-                                                    {"weights", std::move(body.at("weights"))}});
-    state.writeSections();
-  } catch (const Json::exception& wrong) {
-    return absl::DataLossError(wrong.what());
+    state.sectionsJson_ =
+        std::make_shared<const Json>(Json{{"setup", std::move(setup)},
+                                          {"keys", std::move(body.at("keys"))},
+                                          {"weights", std::move(body.at("weights"))}});
+    state.serializeSections();
+  } catch (const Json::exception& error) {
+    return absl::DataLossError(error.what());
   }
   return state;
 }
 
-std::string ControlState::text() const {
-  std::string text = "{\"body\":{\"changes\":" + remembered_->text() +
-                     ",\"forgotten\":" + remembered_->forgottenText() + ",\"earlier\":[";
-  for (const auto& earlier : earlier_) {
+std::string ControlState::serialize() const {
+  std::string text = "{\"body\":{\"changes\":" + rememberedChanges_->recordsText() +
+                     ",\"forgotten\":" + rememberedChanges_->evictionMarksText() + ",\"earlier\":[";
+  for (const auto& earlier : earlierSetups_) {
     if (text.back() != '[') text += ',';
     text +=
         "{\"setup\":" + *earlier.text + ",\"version\":\"" + versionText(earlier.version) + "\"}";
   }
-  text.reserve(text.size() + size() + 512);
+  text.reserve(text.size() + serializedSize() + 512);
   text += "],\"keys\":";
   text += *keysText_;
   text += ",\"setup\":";
@@ -151,147 +152,155 @@
          ",\"version\":" + toJson(version_).dump() + "}";
 }
 
-std::size_t ControlState::size() const {
+std::size_t ControlState::serializedSize() const {
   std::size_t size = setupText_->size() + keysText_->size() + weightsText_->size();
-  for (const auto& earlier : earlier_) size += earlier.text->size();
+  for (const auto& earlier : earlierSetups_) size += earlier.text->size();
   return size;
 }
 
-const SectionVersion& ControlState::baseOf(const std::string& kind) const {
+const SectionVersion& ControlState::baseVersionFor(const std::string& kind) const {
   if (kind == "weights" || kind == "model-version") return sections_.weights;
   return kind.starts_with("key") ? sections_.keys : sections_.setup;
 }
 
-std::optional<ChangeReply> ControlState::checkBase(const std::string& kind,
-                                                   const Json& change) const {
+std::optional<ChangeReply> ControlState::checkBaseVersion(const std::string& kind,
+                                                          const Json& change) const {
   bool namesBase = change.contains("basedOn");
   // Key changes are never rejected as stale, a model's version only increases, and the fleet's
   // configuration has its own versions. Every other kind must name the version it is based on.
-  bool needsBase = !kind.starts_with("key") && !changesFleet(kind) && kind != "model-version";
-  if (needsBase && !namesBase) return invalid("[basedOn]", "is required for kind " + kind);
+  bool needsBase = !kind.starts_with("key") && !changesFleetConfig(kind) && kind != "model-version";
+  if (needsBase && !namesBase) return invalidReply("[basedOn]", "is required for kind " + kind);
   if (!namesBase) return std::nullopt;
   auto base = parseVersion(change["basedOn"]);
-  const SectionVersion& current = baseOf(kind);
+  const SectionVersion& current = baseVersionFor(kind);
   if (base && *base == current) return std::nullopt;
-  return faultAnswer(ChangeOutcome::kStale, "[basedOn]",
-                     "the current version is " + versionText(current));
+  return rejectionReply(ChangeOutcome::kStale, "[basedOn]",
+                        "the current version is " + versionText(current));
 }
 
-std::optional<ChangeReply> ControlState::changeSections(const std::string& kind,
-                                                        const Json& change) {
-  Json draft = *body_;
+std::optional<ChangeReply> ControlState::applyToSections(const std::string& kind,
+                                                         const Json& change) {
+  Json draft = *sectionsJson_;
   if (kind == "revert")
-    for (const auto& earlier : earlier_)
+    for (const auto& earlier : earlierSetups_)
       draft["earlier"].push_back(
           {{"version", versionText(earlier.version)}, {"setup", Json::parse(*earlier.text)}});
-  if (auto wrong = applierOf(kind)(draft, change)) return wrong;
+  if (auto error = applierFor(kind)(draft, change)) return error;
   draft.erase("earlier");
-  if (draft["setup"] != body_->at("setup")) {
-    earlier_.push_back({sections_.setup, bareSetupText_});
-    if (earlier_.size() > kEarlierKept) earlier_.erase(earlier_.begin());
-    bareSetupText_ = write(draft["setup"]);
-    joinSetup();
+  if (draft["setup"] != sectionsJson_->at("setup")) {
+    earlierSetups_.push_back({sections_.setup, setupWithoutFleetText_});
+    if (earlierSetups_.size() > kMaxEarlierSetups) earlierSetups_.erase(earlierSetups_.begin());
+    setupWithoutFleetText_ = serializeSection(draft["setup"]);
+    rebuildSetupText();
   }
-  if (draft["keys"] != body_->at("keys")) keysText_ = write(draft["keys"]);
-  if (draft["weights"] != body_->at("weights")) weightsText_ = write(draft["weights"]);
-  body_ = std::make_shared<const Json>(std::move(draft));
+  if (draft["keys"] != sectionsJson_->at("keys")) keysText_ = serializeSection(draft["keys"]);
+  if (draft["weights"] != sectionsJson_->at("weights"))
+    weightsText_ = serializeSection(draft["weights"]);
+  sectionsJson_ = std::make_shared<const Json>(std::move(draft));
   return std::nullopt;
 }
 
-std::optional<ChangeReply> ControlState::changeFleet(const std::string& kind, Json& change) {
+std::optional<ChangeReply> ControlState::applyToFleetConfig(const std::string& kind, Json& change) {
   const char* part = kind == "replace" ? "config" : "amendment";
-  for (const char* needed : {"basedOnVersion", part})
-    if (!change.contains(needed)) return invalid(std::string("[") + needed + "]", "is required");
-  Json& given = change[part];
+  for (const char* required : {"basedOnVersion", part})
+    if (!change.contains(required))
+      return invalidReply(std::string("[") + required + "]", "is required");
+  Json& newConfig = change[part];
   // Replacing the configuration by an identical one changes nothing.
-  if (kind == "replace" && fleet_ && given == *fleet_) return std::nullopt;
-  if (change["basedOnVersion"].get<std::uint64_t>() != fleetVersion_.value) {
+  if (kind == "replace" && fleetConfig_ && newConfig == *fleetConfig_) return std::nullopt;
+  if (change["basedOnVersion"].get<std::uint64_t>() != fleetConfigVersion_.value) {
     ChangeReply stale =
-        faultAnswer(ChangeOutcome::kStale, "[basedOnVersion]",
-                    "the current version is " + std::to_string(fleetVersion_.value));
-    stale.newest = fleetVersion_.value;
+        rejectionReply(ChangeOutcome::kStale, "[basedOnVersion]",
+                       "the current version is " + std::to_string(fleetConfigVersion_.value));
+    stale.currentConfigVersion = fleetConfigVersion_.value;
     return stale;
   }
   if (kind == "amend") {
-    if (auto wrong = checkFleetAmendment(given)) return invalid(wrong->field, wrong->detail);
-    given = amendFleetConfig(fleet_ ? *fleet_ : Json::object(), given);
+    if (auto error = checkFleetAmendment(newConfig))
+      return invalidReply(error->field, error->detail);
+    newConfig = amendFleetConfig(fleetConfig_ ? *fleetConfig_ : Json::object(), newConfig);
   }
-  if (auto wrong = checkFleetConfig(given)) return invalid(wrong->field, wrong->detail);
-  ConfigVersion version{given["version"].get<std::uint64_t>()};
-  if (version <= fleetVersion_)
-    return invalid("[version]", "must be above " + std::to_string(fleetVersion_.value));
-  fleet_ = std::make_shared<const Json>(std::move(given));
-  fleetVersion_ = version;
-  fleetText_ = write(*fleet_);
-  joinSetup();
+  if (auto error = checkFleetConfig(newConfig)) return invalidReply(error->field, error->detail);
+  ConfigVersion version{newConfig["version"].get<std::uint64_t>()};
+  if (version <= fleetConfigVersion_)
+    return invalidReply("[version]", "must be above " + std::to_string(fleetConfigVersion_.value));
+  fleetConfig_ = std::make_shared<const Json>(std::move(newConfig));
+  fleetConfigVersion_ = version;
+  fleetConfigText_ = serializeSection(*fleetConfig_);
+  rebuildSetupText();
   return std::nullopt;
 }
 
-std::string ControlState::wouldBecome(const ControlState& next) const {
-  if (next.fleet_ == fleet_) return whatWouldChange(*body_, *next.body_);
+std::string ControlState::describeDryRunTo(const ControlState& next) const {
+  if (next.fleetConfig_ == fleetConfig_) return describeDryRun(*sectionsJson_, *next.sectionsJson_);
   // The configuration contains keys, so only versions and list lengths are reported.
-  Json told{{"version", {fleetVersion_.value, next.fleetVersion_.value}}};
+  Json summary{{"version", {fleetConfigVersion_.value, next.fleetConfigVersion_.value}}};
   for (const char* list : {"routes", "services", "tenants"})
-    told[list] = {countOf(fleet_, list), countOf(next.fleet_, list)};
-  return Json{{"fleet", told}}.dump();
+    summary[list] = {listLength(fleetConfig_, list), listLength(next.fleetConfig_, list)};
+  return Json{{"fleet", summary}}.dump();
 }
 
 ChangeReply ControlState::apply(const std::string& change, const std::string& changeId, Epoch epoch,
                                 const Options& options) {
-  if (const SectionVersion* version = remembered_->find(changeId))
-    return done(*version);  // a repeated change is not applied again
+  if (const SectionVersion* version = rememberedChanges_->find(changeId))
+    return doneReply(*version);  // a repeated change is not applied again
   if (change.size() > static_cast<std::size_t>(options.largestSetup))
-    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the change exceeds the size limit");
+    return rejectionReply(ChangeOutcome::kTooLarge, "<root>", "the change exceeds the size limit");
   Json document = parseDocument(change);
-  if (document.is_discarded()) return invalid("<root>", "is not JSON or is nested too deeply");
-  if (auto wrong = checkSchema(SchemaName::kChange, document))
-    return invalid(wrong->field, wrong->detail);
+  if (document.is_discarded()) return invalidReply("<root>", "is not JSON or is nested too deeply");
+  if (auto error = checkSchema(SchemaName::kChange, document))
+    return invalidReply(error->field, error->detail);
   std::string kind = document["kind"];
-  if (auto wrong = checkBase(kind, document)) return judged(kind, document, std::move(*wrong));
-  const std::optional<ConfigVersion> number = numberOf(kind, document);
+  if (auto error = checkBaseVersion(kind, document))
+    return rejectionOrLost(kind, document, std::move(*error));
+  const std::optional<ConfigVersion> carriedVersion = carriedConfigVersion(kind, document);
   ControlState next = *this;
-  auto wrong =
-      changesFleet(kind) ? next.changeFleet(kind, document) : next.changeSections(kind, document);
-  bytesWritten_ = next.bytesWritten_;
-  if (wrong) return judged(kind, document, std::move(*wrong));
+  auto error = changesFleetConfig(kind) ? next.applyToFleetConfig(kind, document)
+                                        : next.applyToSections(kind, document);
+  serializedBytes_ = next.serializedBytes_;
+  if (error) return rejectionOrLost(kind, document, std::move(*error));
   if (document.value("dryRun", false))
-    return faultAnswer(ChangeOutcome::kWould, {}, wouldBecome(next));
-  const bool needsNoMemory = neverRefused(kind) && !document.contains("basedOn");
-  if (needsNoMemory && next.sameSections(*this)) return done(inForce());
-  return adopt(std::move(next), {changeId, {}, number.value_or(ConfigVersion{})}, epoch, options);
+    return rejectionReply(ChangeOutcome::kDryRun, {}, describeDryRunTo(next));
+  const bool needsNoRecord = isAlwaysAccepted(kind) && !document.contains("basedOn");
+  if (needsNoRecord && next.sameSections(*this)) return doneReply(newestSectionVersion());
+  return commit(std::move(next), {changeId, {}, carriedVersion.value_or(ConfigVersion{})}, epoch,
+                options);
 }
 
-ChangeReply ControlState::judged(const std::string& kind, const Json& change,
-                                 ChangeReply refusal) const {
-  if (!mayBeForgotten(kind, change)) return refusal;
-  return faultAnswer(
+ChangeReply ControlState::rejectionOrLost(const std::string& kind, const Json& change,
+                                          ChangeReply refusal) const {
+  if (!mayHaveBeenEvicted(kind, change)) return refusal;
+  return rejectionReply(
       ChangeOutcome::kLost, refusal.field,
       "it may have been applied earlier, beyond the remembered changes; " + refusal.detail);
 }
 
-bool ControlState::mayBeForgotten(const std::string& kind, const Json& change) const {
-  const ForgottenChanges& forgotten = remembered_->forgotten();
+bool ControlState::mayHaveBeenEvicted(const std::string& kind, const Json& change) const {
+  const EvictionMarks& forgotten = rememberedChanges_->evictionMarks();
   if (forgotten.version == SectionVersion{}) return false;
-  if (auto number = numberOf(kind, change)) {
+  if (auto carriedVersion = carriedConfigVersion(kind, change)) {
     // A change based on the current configuration was never applied: versions only increase, so its
     // base would no longer be current.
-    const bool onNewest = change.value("basedOnVersion", std::uint64_t{0}) == fleetVersion_.value;
-    return !onNewest && *number <= forgotten.config;
+    const bool onNewest =
+        change.value("basedOnVersion", std::uint64_t{0}) == fleetConfigVersion_.value;
+    return !onNewest && *carriedVersion <= forgotten.configVersion;
   }
   if (kind == "key-add") {  // only a key that is withdrawn by now may have been added before
-    const Json& withdrawn = body_->at("keys").at("withdrawn");
+    const Json& withdrawn = sectionsJson_->at("keys").at("withdrawn");
     return withdrawn.contains(change.value("digest", ""));
   }
   const auto base = parseVersion(change.value("basedOn", ""));
-  return base && *base < forgotten.version && *base != baseOf(kind);
+  return base && *base < forgotten.version && *base != baseVersionFor(kind);
 }
 
-ChangeReply ControlState::adopt(ControlState next, RememberedChange change, Epoch epoch,
-                                const Options& options) {
+ChangeReply ControlState::commit(ControlState next, RememberedChange change, Epoch epoch,
+                                 const Options& options) {
   const std::size_t limit = 2 * static_cast<std::size_t>(options.largestSetup);
-  while (!next.earlier_.empty() && next.size() > limit) next.earlier_.erase(next.earlier_.begin());
-  if (next.size() > limit)
-    return faultAnswer(ChangeOutcome::kTooLarge, "<root>", "the state would exceed the size limit");
+  while (!next.earlierSetups_.empty() && next.serializedSize() > limit)
+    next.earlierSetups_.erase(next.earlierSetups_.begin());
+  if (next.serializedSize() > limit)
+    return rejectionReply(ChangeOutcome::kTooLarge, "<root>",
+                          "the state would exceed the size limit");
   const SectionVersion newVersion{epoch, {version_.sequence.value + 1}};
   if (*next.setupText_ != *setupText_) next.sections_.setup = newVersion;
   if (*next.keysText_ != *keysText_) next.sections_.keys = newVersion;
@@ -299,11 +308,12 @@
   next.version_ = newVersion;
   // A change that modified no section is recorded as well, because it is acknowledged; the
   // acknowledgement names the version that is already in force.
-  change.version = next.sameSections(*this) ? inForce() : newVersion;
+  change.version = next.sameSections(*this) ? newestSectionVersion() : newVersion;
   *this = std::move(next);
-  if (remembered_.use_count() > 1) remembered_ = std::make_shared<RememberedChanges>(*remembered_);
-  ChangeReply answer = done(change.version);
-  remembered_->add(std::move(change), static_cast<std::size_t>(options.rememberedChanges));
+  if (rememberedChanges_.use_count() > 1)
+    rememberedChanges_ = std::make_shared<RememberedChanges>(*rememberedChanges_);
+  ChangeReply answer = doneReply(change.version);
+  rememberedChanges_->add(std::move(change), static_cast<std::size_t>(options.rememberedChanges));
   return answer;
 }
 
@@ -312,22 +322,22 @@
          *weightsText_ == *other.weightsText_;
 }
 
-SectionVersion ControlState::inForce() const {
+SectionVersion ControlState::newestSectionVersion() const {
   return std::max({sections_.setup, sections_.keys, sections_.weights});
 }
 
-bool ControlState::stampOver(const SectionVersions& seen, Epoch epoch) {
+bool ControlState::supersedeUnacknowledged(const SectionVersions& seen, Epoch epoch) {
   SectionVersion next{epoch, {version_.sequence.value + 1}};
-  bool any = false;
-  for (auto [mine, theirs] :
+  bool changed = false;
+  for (auto [own, theirs] :
        {std::pair{&sections_.setup, &seen.setup}, std::pair{&sections_.keys, &seen.keys},
         std::pair{&sections_.weights, &seen.weights}})
-    if (*theirs > *mine && theirs->epoch < epoch) {
-      *mine = next;
-      any = true;
+    if (*theirs > *own && theirs->epoch < epoch) {
+      *own = next;
+      changed = true;
     }
-  if (any) version_ = next;
-  return any;
+  if (changed) version_ = next;
+  return changed;
 }
 
 }  // namespace peppergate
--- a/src/core/control_state.h
+++ b/src/core/control_state.h
@@ -34,10 +34,10 @@
   std::string templateName;
   std::string className;
   std::int64_t rank = 1;  // load shedding order: 0 is shed last
-  Wall wall;
-  WeightsVersion weights;  // minimum version that may serve this tenant
+  CacheDomain cacheDomain;
+  WeightsVersion minWeightsVersion;  // minimum version that may serve this tenant
   std::int64_t topRung = 3;
-  std::int64_t share = 0;  // concurrent streams per router; 0: no limit per tenant
+  std::int64_t maxStreamsPerRouter = 0;  // concurrent streams per router; 0: no limit per tenant
 };
 
 /// The parsed setup section.
@@ -46,7 +46,7 @@
   std::map<std::string, TenantClass> classes;
   std::map<TenantId, Tenant> tenants;
   double partBytesPerCharacter = 1000;
-  FleetConfig fleet;  // routes, services, tenants with keys; empty until one is set
+  FleetConfig fleetConfig;  // routes, services, tenants with keys; empty until one is set
 };
 
 /// The parsed keys section.
@@ -82,7 +82,7 @@
   /// An empty state, for replicas that have not received one.
   ControlState();
   /// The initial state of a newly bootstrapped fleet.
-  static ControlState founded(Epoch epoch);
+  static ControlState initial(Epoch epoch);
   /// Parses the serialized form; DataLoss if it is malformed.
   static absl::StatusOr<ControlState> parse(const std::string& text);
 
@@ -93,7 +93,7 @@
   /// Gives a new version to each section of which `seen` has a higher version from an earlier
   /// epoch: that version was never acknowledged, and its holders must replace it. Returns whether
   /// any section got one.
-  bool stampOver(const SectionVersions& seen, Epoch epoch);
+  bool supersedeUnacknowledged(const SectionVersions& seen, Epoch epoch);
 
   /// The version of the last change.
   SectionVersion version() const { return version_; }
@@ -103,52 +103,55 @@
   const std::string& keysText() const { return *keysText_; }
   const std::string& weightsText() const { return *weightsText_; }
   /// The version of the fleet's configuration; 0 if none is set.
-  ConfigVersion configVersion() const { return fleetVersion_; }
+  ConfigVersion configVersion() const { return fleetConfigVersion_; }
   /// The version that a change was acknowledged with; null if it was never applied or its record
   /// was evicted.
-  const SectionVersion* takenVersion(const std::string& changeId) const {
-    return remembered_->find(changeId);
+  const SectionVersion* acknowledgedVersion(const std::string& changeId) const {
+    return rememberedChanges_->find(changeId);
   }
-  /// Drops all deduplication records; only for ControlFault::kRememberedOrdersDropped.
-  void forgetTakenOrders() { remembered_ = std::make_shared<RememberedChanges>(); }
+  /// Drops all deduplication records; only for ControlFault::kRememberedChangesDropped.
+  void dropRememberedChanges() { rememberedChanges_ = std::make_shared<RememberedChanges>(); }
   /// The serialized state, for files and replicas.
-  std::string text() const;
+  std::string serialize() const;
   /// How many bytes of JSON were serialized for this state and those it was derived from. Tests
   /// bound it, to keep the cost of a small change independent of the size of the state.
-  std::size_t bytesWritten() const { return bytesWritten_; }
+  std::size_t serializedBytes() const { return serializedBytes_; }
 
  private:
   using Text = std::shared_ptr<const std::string>;
-  using Fault = std::optional<ChangeReply>;
-  Text write(const Json& value);
-  void joinSetup();
-  void writeSections();
-  Fault checkBase(const std::string& kind, const Json& change) const;
-  Fault changeSections(const std::string& kind, const Json& change);
-  Fault changeFleet(const std::string& kind, Json& change);
-  std::string wouldBecome(const ControlState& next) const;
-  std::size_t size() const;
-  ChangeReply adopt(ControlState next, RememberedChange change, Epoch epoch,
-                    const Options& options);
+  using OptionalRejection = std::optional<ChangeReply>;
+  Text serializeSection(const Json& value);
+  void rebuildSetupText();
+  void serializeSections();
+  OptionalRejection checkBaseVersion(const std::string& kind, const Json& change) const;
+  OptionalRejection applyToSections(const std::string& kind, const Json& change);
+  OptionalRejection applyToFleetConfig(const std::string& kind, Json& change);
+  std::string describeDryRunTo(const ControlState& next) const;
+  std::size_t serializedSize() const;
+  ChangeReply commit(ControlState next, RememberedChange change, Epoch epoch,
+                     const Options& options);
   /// Returns the refusal, or kLost if the change may have been applied and its record evicted
   /// since: then neither success nor failure may be reported.
-  ChangeReply judged(const std::string& kind, const Json& change, ChangeReply refusal) const;
-  bool mayBeForgotten(const std::string& kind, const Json& change) const;
+  ChangeReply rejectionOrLost(const std::string& kind, const Json& change,
+                              ChangeReply refusal) const;
+  bool mayHaveBeenEvicted(const std::string& kind, const Json& change) const;
   /// The current version of the section that a change of this kind must be based on.
-  const SectionVersion& baseOf(const std::string& kind) const;
+  const SectionVersion& baseVersionFor(const std::string& kind) const;
   bool sameSections(const ControlState& other) const;
   /// The highest of the sections' versions.
-  SectionVersion inForce() const;
-
-  std::shared_ptr<const Json> body_;   // keys, weights, and setup without the fleet's configuration
-  std::shared_ptr<const Json> fleet_;  // the configuration as the operator sent it; null if none
-  ConfigVersion fleetVersion_;
-  Text bareSetupText_, fleetText_, setupText_, keysText_, weightsText_;
-  std::vector<EarlierSetup> earlier_;
-  std::shared_ptr<RememberedChanges> remembered_;
+  SectionVersion newestSectionVersion() const;
+
+  std::shared_ptr<const Json>
+      sectionsJson_;  // keys, weights, and setup without the fleet's configuration
+  std::shared_ptr<const Json>
+      fleetConfig_;  // the configuration as the operator sent it; null if none
+  ConfigVersion fleetConfigVersion_;
+  Text setupWithoutFleetText_, fleetConfigText_, setupText_, keysText_, weightsText_;
+  std::vector<EarlierSetup> earlierSetups_;
+  std::shared_ptr<RememberedChanges> rememberedChanges_;
   SectionVersion version_;
   SectionVersions sections_;
-  std::size_t bytesWritten_ = 0;
+  std::size_t serializedBytes_ = 0;
 };
 
 }  // namespace peppergate
--- a/src/core/core_node.h
+++ b/src/core/core_node.h
@@ -14,7 +14,7 @@
 namespace peppergate {
 
 /// The files on a core machine's disk at start, by name.
-struct DiskFound {
+struct DiskContents {
   std::map<std::string, std::string> files;
 };
 
@@ -39,7 +39,7 @@
 class CoreNode final : public Node {
  public:
   CoreNode(const Options& options, MemberRecord self, std::vector<Address> seeds,
-           const DiskFound& found, std::uint64_t seed, MonotonicTime now,
+           const DiskContents& disk, std::uint64_t seed, MonotonicTime now,
            const Bootstrap& bootstrap = {});
 
   void step(const Event& event, MonotonicTime now) override;
@@ -49,10 +49,10 @@
   /// An independent copy with the same state, for the model checker's branching search. Engine
   /// duties are not copied.
   std::unique_ptr<CoreNode> clone() const;
-  bool drained(MonotonicTime now) const override { return draining_ && leadership_->gone(now); }
+  bool drained(MonotonicTime now) const override { return draining_ && leadership_->mayExit(now); }
   /// Enables engine discovery and weight rollout, which this node performs while it leads. Used in
   /// fleets whose routers get the engine list from the core.
-  void takeEngineDuties();
+  void enableEngineDuties();
   // Read access for the model checker and tests.
   const Leadership& leadership() const { return *leadership_; }
   const Acceptor& acceptor() const { return *acceptor_; }
@@ -60,25 +60,25 @@
   const ReadOnlyLeader& readOnlyLeader() const { return *readOnlyLeader_; }
 
  private:
-  void arrived(const Arrived& event, MonotonicTime now);
-  void heard(const Address& from, const StateRequest& ask, MonotonicTime now);
-  void heard(const Shuffle& shuffle, MonotonicTime now);
+  void handleMessage(const MessageReceived& event, MonotonicTime now);
+  void handle(const Address& from, const StateRequest& request, MonotonicTime now);
+  void handle(const Shuffle& shuffle, MonotonicTime now);
   void tick(MonotonicTime now);
-  void heard(const Address& from, const WitnessUpdateRequest& ask, MonotonicTime now);
-  void noticeTime(MonotonicTime now);
-  void putInForce(MonotonicTime now);
+  void handle(const Address& from, const WitnessUpdateRequest& request, MonotonicTime now);
+  void noteTime(MonotonicTime now);
+  void installOwnState(MonotonicTime now);
   void replyToStateRequests(MonotonicTime now);
-  void notifyOthers();
-  bool inForceEverywhere(const SectionVersions& sections) const;
-  void grantEngines(const Address& from, const EngineLeaseRequest& ask, MonotonicTime now);
+  void notifyRouters();
+  bool isInstalledOnAllRouters(const SectionVersions& sections) const;
+  void grantEngineLeases(const Address& from, const EngineLeaseRequest& request, MonotonicTime now);
 
   struct StateRequester {
     Address from;
-    StateRequest ask;
-    MonotonicTime since;
-    bool first = false;  // its first request to this primary is answered at once
+    StateRequest request;
+    MonotonicTime receivedAt;
+    bool isFirstRequest = false;  // its first request to this primary is answered at once
   };
-  struct EngineGrant {
+  struct EngineLeaseGrant {
     MemberId holder;
     MonotonicTime until;
   };
@@ -91,23 +91,23 @@
   std::unique_ptr<Follower> follower_;
   std::unique_ptr<ReadOnlyLeader> readOnlyLeader_;
   std::unique_ptr<OperatorHandler> operatorHandler_;
-  std::unique_ptr<EngineDuties> duties_;
+  std::unique_ptr<EngineManager> duties_;
   std::map<MemberId, StateRequester> requesters_;
-  std::map<EngineId, EngineGrant> engineGrants_;
-  SectionVersions told_;
-  Epoch toldView_;
-  MonotonicTime lastNotice_ = kNever;
-  std::map<MemberId, SectionVersions> frontsHave_;  // section versions as of their last request
-  MonotonicTime started_;
+  std::map<EngineId, EngineLeaseGrant> engineLeaseGrants_;
+  SectionVersions notifiedSections_;
+  Epoch notifiedEpoch_;
+  MonotonicTime lastTimeNotedAt_ = kNever;
+  std::map<MemberId, SectionVersions> routerSections_;  // section versions as of their last request
+  MonotonicTime startedAt_;
   bool draining_ = false;
 };
 
 /// The core's identity as stored on its disk; zero if there is none.
-CoreId identityOn(const DiskFound& found);
+CoreId readIdentity(const DiskContents& disk);
 /// The content of the identity file: the core's identity and its bootstrap settings. It is written
 /// to a new disk before the node starts.
-std::string identityFile(CoreId core, const Bootstrap& bootstrap = {});
+std::string identityFileContent(CoreId core, const Bootstrap& bootstrap = {});
 /// The bootstrap settings that the identity file stores.
-Bootstrap bootstrapOn(const DiskFound& found);
+Bootstrap readBootstrap(const DiskContents& disk);
 
 }  // namespace peppergate
--- a/src/core/digest.cc
+++ b/src/core/digest.cc
@@ -22,12 +22,12 @@
   return {digestText("peppergate key\n" + std::string(key))};
 }
 
-PartName partName(const Wall& wall, WeightsVersion weights, const PartName& previous,
-                  std::string_view content) {
+PrefixBlockName prefixBlockName(const CacheDomain& cacheDomain, WeightsVersion weights,
+                                const PrefixBlockName& previous, std::string_view content) {
   // Length prefixes make the concatenation unambiguous.
-  std::string input = "part\n" + std::to_string(wall.value.size()) + ":" + wall.value + "\n" +
-                      std::to_string(weights.value) + "\n" + previous.value + "\n" +
-                      digestText(content);
+  std::string input = "part\n" + std::to_string(cacheDomain.value.size()) + ":" +
+                      cacheDomain.value + "\n" + std::to_string(weights.value) + "\n" +
+                      previous.value + "\n" + digestText(content);
   return {digestText(input)};
 }
 
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -13,7 +13,7 @@
 KeyDigest keyDigest(std::string_view key);
 /// Names a prefix block by its content, the tenant's cache isolation domain, the weights version
 /// and the name of the preceding block, which is empty for the first block of a prompt.
-PartName partName(const Wall& wall, WeightsVersion weights, const PartName& previous,
-                  std::string_view content);
+PrefixBlockName prefixBlockName(const CacheDomain& cacheDomain, WeightsVersion weights,
+                                const PrefixBlockName& previous, std::string_view content);
 
 }  // namespace peppergate
--- a/src/core/documents.cc
+++ b/src/core/documents.cc
@@ -5,19 +5,19 @@
 namespace {
 
 /// Whether a JSON text exceeds the nesting limit. Brackets inside strings are not counted.
-bool tooDeep(std::string_view text) {
+bool exceedsMaxDepth(std::string_view text) {
   std::size_t depth = 0;
   bool inString = false;
-  for (std::size_t place = 0; place < text.size(); ++place) {
-    char letter = text[place];
+  for (std::size_t index = 0; index < text.size(); ++index) {
+    char character = text[index];
     if (inString) {
-      if (letter == '\\') ++place;
-      else if (letter == '"') inString = false;
-    } else if (letter == '"') {
+      if (character == '\\') ++index;
+      else if (character == '"') inString = false;
+    } else if (character == '"') {
       inString = true;
-    } else if (letter == '{' || letter == '[') {
-      if (++depth > kDeepestDocument) return true;
-    } else if ((letter == '}' || letter == ']') && depth > 0) {
+    } else if (character == '{' || character == '[') {
+      if (++depth > kMaxDocumentDepth) return true;
+    } else if ((character == '}' || character == ']') && depth > 0) {
       --depth;
     }
   }
@@ -25,9 +25,9 @@
 }
 
 /// SAX handler that keeps the top-level string fields of an object.
-class HeadReader final : public nlohmann::json_sax<Json> {
+class TopLevelStringReader final : public nlohmann::json_sax<Json> {
  public:
-  explicit HeadReader(DocumentHead& head) : head_(head) {}
+  explicit TopLevelStringReader(TopLevelStrings& result) : result_(result) {}
 
   bool null() override { return inObject(); }
   bool boolean(bool) override { return inObject(); }
@@ -36,17 +36,17 @@
   bool number_float(number_float_t, const string_t&) override { return inObject(); }
   bool binary(binary_t&) override { return inObject(); }
   bool string(string_t& text) override {
-    if (depth_ == 1) head_.texts[key_] = std::move(text);
+    if (depth_ == 1) result_.values[key_] = std::move(text);
     return inObject();
   }
-  bool start_object(std::size_t) override { return ++depth_ <= kDeepestDocument; }
-  bool start_array(std::size_t) override { return inObject() && ++depth_ <= kDeepestDocument; }
-  bool end_object() override { return leave(); }
-  bool end_array() override { return leave(); }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxDocumentDepth; }
+  bool start_array(std::size_t) override { return inObject() && ++depth_ <= kMaxDocumentDepth; }
+  bool end_object() override { return closeContainer(); }
+  bool end_array() override { return closeContainer(); }
   bool key(string_t& name) override {
     if (depth_ == 1) {
       key_ = std::move(name);
-      head_.texts.erase(key_);  // for a duplicate key the last value counts
+      result_.values.erase(key_);  // for a duplicate key the last value counts
     }
     return true;
   }
@@ -56,12 +56,12 @@
 
  private:
   bool inObject() const { return depth_ > 0; }
-  bool leave() {
+  bool closeContainer() {
     --depth_;
     return true;
   }
 
-  DocumentHead& head_;
+  TopLevelStrings& result_;
   std::string key_;
   std::size_t depth_ = 0;
 };
@@ -69,15 +69,15 @@
 }  // namespace
 
 Json parseDocument(std::string_view text) {
-  if (tooDeep(text)) return Json(Json::value_t::discarded);
+  if (exceedsMaxDepth(text)) return Json(Json::value_t::discarded);
   return Json::parse(text, nullptr, false);
 }
 
-DocumentHead readHead(std::string_view text) {
-  DocumentHead head;
-  HeadReader reader(head);
-  head.readable = Json::sax_parse(text, &reader);
-  return head;
+TopLevelStrings readTopLevelStrings(std::string_view text) {
+  TopLevelStrings result;
+  TopLevelStringReader reader(result);
+  result.valid = Json::sax_parse(text, &reader);
+  return result;
 }
 
 }  // namespace peppergate
--- a/src/core/engine_list.cc
+++ b/src/core/engine_list.cc
@@ -7,8 +7,9 @@
 absl::StatusOr<EngineList> parseEngineList(const std::string& text) {
   Json document = Json::parse(text, nullptr, false);
   if (document.is_discarded()) return absl::InvalidArgumentError("engine list is not valid JSON");
-  if (auto wrong = checkSchema(SchemaName::kEngineList, document))
-    return absl::InvalidArgumentError("engine list: " + wrong->field + ": " + wrong->detail);
+  if (auto schemaError = checkSchema(SchemaName::kEngineList, document))
+    return absl::InvalidArgumentError("engine list: " + schemaError->field + ": " +
+                                      schemaError->detail);
   EngineList list;
   list.version = {document["version"].get<std::uint64_t>()};
   list.text = text;
@@ -19,7 +20,7 @@
     engine.service = entry["service"] == "desk" ? Service::kDesk : Service::kModel;
     engine.rack = entry.value("rack", "");
     engine.zone = {entry.value("district", "")};
-    engine.link = entry.value("link", 100.0);
+    engine.linkCapacity = entry.value("link", 100.0);
     engine.draining = entry.value("draining", false);
     list.engines[engine.id] = engine;
   }
@@ -30,7 +31,7 @@
     store.id = storeId();
     store.address = {document["store"]["address"].get<std::string>()};
     store.service = Service::kStore;
-    store.link = document["store"]["link"];
+    store.linkCapacity = document["store"]["link"];
     list.engines[store.id] = store;
   }
   return list;
--- a/src/core/engine_list.h
+++ b/src/core/engine_list.h
@@ -19,7 +19,7 @@
   Service service = Service::kModel;
   std::string rack;
   Zone zone;
-  double link = 100;
+  double linkCapacity = 100;
   bool draining = false;
 };
 
--- a/src/core/example_setup.h
+++ b/src/core/example_setup.h
@@ -10,21 +10,22 @@
 namespace peppergate {
 
 /// An example tenant: name, load shedding rank, share of the traffic, and prefix size class.
-struct TenantRow {
+struct ExampleTenant {
   std::string_view name;
   int rank;
-  double share;
-  int prefix;
+  double trafficShare;
+  int prefixSizeClass;
 };
 /// The tenants of a profile, "hutline" or "fjordsyn".
-std::vector<TenantRow> tenantRows(std::string_view profile);
+std::vector<ExampleTenant> exampleTenants(std::string_view profile);
 /// The prompt prefix blocks of a size class: one that the tenant's requests share, and one of the
 /// tenant's documents.
-std::vector<std::string> sharedPrefix(std::string_view tenant, int size, std::uint64_t document);
+std::vector<std::string> sharedPrefix(std::string_view tenant, int sizeClass,
+                                      std::uint64_t document);
 /// Picks a document at random; those with lower numbers are picked more often.
 std::uint64_t pickDocument(Random& random, std::uint64_t documents);
 /// The change with which an operator applies the initial setup of a profile.
-std::string firstSetupBody(std::string_view profile, const std::string& basedOn);
+std::string initialSetupChange(std::string_view profile, const std::string& basedOn);
 /// The API key of an example tenant's clients.
 inline std::string exampleKey(const std::string& tenant) { return "secret-of-" + tenant; }
 
--- a/src/core/fetch_desk.cc
+++ b/src/core/fetch_desk.cc
@@ -6,37 +6,40 @@
 namespace peppergate {
 namespace {
 
-constexpr double kLeastNoted = 0.02;  // smoothed streams of a kind; lower counts are not reported
+constexpr double kMinReportedStreams =
+    0.02;  // smoothed streams of a kind; lower counts are not reported
 
-constexpr std::uint64_t kNotedStreams = 1ULL << 62;  // ids from here on represent reported streams
+constexpr std::uint64_t kFirstReportedStreamId =
+    1ULL << 62;  // ids from here on represent reported streams
 
 LinkId rackLink(const std::string& rack) { return {"rack:" + rack}; }
 
 }  // namespace
 
-void FetchDesk::links(const EngineList& list) {
-  std::map<LinkId, LinkTold> told;
-  for (const auto& [id, engine] : list.engines) told[linkOf(id)] = {engine.link, {}};
-  for (const auto& [rack, uplink] : list.racks) told[rackLink(rack)] = {uplink, {}};
-  links(told);
+void FetchPlanner::updateLinks(const EngineList& list) {
+  std::map<LinkId, LinkConfig> configured;
+  for (const auto& [id, engine] : list.engines) configured[linkOf(id)] = {engine.linkCapacity, {}};
+  for (const auto& [rack, uplink] : list.racks) configured[rackLink(rack)] = {uplink, {}};
+  updateLinks(configured);
 }
 
-void FetchDesk::links(const std::map<LinkId, LinkTold>& told) {
-  std::erase_if(books_, [&](const auto& entry) { return !told.contains(entry.first); });
-  std::erase_if(rungs_, [&](const auto& entry) { return !told.contains(entry.first.second); });
-  for (const auto& [link, is] : told) {
-    auto [book, fresh] = books_.try_emplace(link);
-    book->second.told = is.size;
-    book->second.zone = is.zone;
-    if (!fresh) continue;
-    book->second.fraction = options_.capacityStart;
-    book->second.common = is.size * options_.capacityStart;
+void FetchPlanner::updateLinks(const std::map<LinkId, LinkConfig>& configured) {
+  std::erase_if(links_, [&](const auto& entry) { return !configured.contains(entry.first); });
+  std::erase_if(rungStates_,
+                [&](const auto& entry) { return !configured.contains(entry.first.second); });
+  for (const auto& [link, config] : configured) {
+    auto [state, inserted] = links_.try_emplace(link);
+    state->second.listedCapacity = config.capacity;
+    state->second.zone = config.zone;
+    if (!inserted) continue;
+    state->second.usableFraction = options_.capacityStart;
+    state->second.sharedCapacity = config.capacity * options_.capacityStart;
   }
-  touched_ = true;
+  rerunRequested_ = true;
 }
 
-std::vector<LinkId> FetchDesk::pathOf(const EngineList& list, const EngineId& source,
-                                      const EngineId& engine) {
+std::vector<LinkId> FetchPlanner::pathOf(const EngineList& list, const EngineId& source,
+                                         const EngineId& engine) {
   std::vector<LinkId> path{linkOf(source), linkOf(engine)};
   auto from = list.engines.find(source);
   auto to = list.engines.find(engine);
@@ -47,156 +50,166 @@
   return path;
 }
 
-double FetchDesk::easedCut(const LinkBook& book, MonotonicTime now) const {
+double FetchPlanner::easedCut(const LinkState& state, MonotonicTime now) const {
   double eased =
-      1 - std::clamp(inSeconds(now - book.cutAt) / inSeconds(options_.cutEase), 0.0, 1.0);
-  return book.cut * eased;
+      1 - std::clamp(inSeconds(now - state.capacityCutAt) / inSeconds(options_.cutEase), 0.0, 1.0);
+  return state.capacityCut * eased;
 }
 
-double FetchDesk::capacity(const LinkId& link, MonotonicTime now) const {
-  auto found = books_.find(link);
-  if (found == books_.end()) return 0;
-  return found->second.told * found->second.fraction * (1 - easedCut(found->second, now));
+double FetchPlanner::capacity(const LinkId& link, MonotonicTime now) const {
+  auto found = links_.find(link);
+  if (found == links_.end()) return 0;
+  return found->second.listedCapacity * found->second.usableFraction *
+         (1 - easedCut(found->second, now));
 }
 
-double FetchDesk::ownDemand(const LinkId& link) const {
+double FetchPlanner::ownDemand(const LinkId& link) const {
   double demand = 0;
   for (const auto& [stream, fetch] : fetches_)
-    if (std::ranges::find(fetch.want.links, link) != fetch.want.links.end())
-      demand += fetch.topRate * pathCrossing(fetch.want.links);
+    if (std::ranges::find(fetch.planStream.links, link) != fetch.planStream.links.end())
+      demand += fetch.topRate * pathWeight(fetch.planStream.links);
   return demand;
 }
 
-double FetchDesk::othersUse(const LinkId& link, double room, double own, MonotonicTime now) const {
-  const LinkTotal* total = notes_.total(link, now);
+double FetchPlanner::othersUse(const LinkId& link, double linkCapacity, double own,
+                               MonotonicTime now) const {
+  const LinkTotal* total = usageTable_.total(link, now);
   if (total == nullptr) return 0;
   double rate = total->othersRate, demand = total->othersDemand;
   // An overloaded link is divided in proportion to demand, so that routers with different
   // information arrive at the same level; otherwise the others use what they reported.
-  if (own + demand > room && demand > 0) return room * demand / (own + demand);
-  return std::min(rate, room);
+  if (own + demand > linkCapacity && demand > 0) return linkCapacity * demand / (own + demand);
+  return std::min(rate, linkCapacity);
 }
 
-std::optional<EngineId> FetchDesk::roomiest(std::span<const EngineId> holders,
-                                            const EngineList& list, const EngineId& engine,
-                                            const Setup&, MonotonicTime now) {
+std::optional<EngineId> FetchPlanner::selectSource(std::span<const EngineId> holders,
+                                                   const EngineList& list, const EngineId& engine,
+                                                   const Setup&, MonotonicTime now) {
   std::optional<EngineId> best;
-  double bestRoom = 0;
+  double bestAvailable = 0;
   for (const auto& holder : holders) {
     if (holder == engine || !list.engines.contains(holder)) continue;
-    double room = 1e18;
+    double available = 1e18;
     for (const auto& link : pathOf(list, holder, engine)) {
-      double size = commonCapacity(link, now);
+      double linkCapacity = capacityForAll(link, now);
       double own = ownDemand(link);
-      room = std::min(room, size - own - othersUse(link, size, own, now));
+      available = std::min(available, linkCapacity - own - othersUse(link, linkCapacity, own, now));
     }
     // Among equals the store comes last: other engines are nearer.
-    if (holder == storeId()) room -= 1e-3;
-    if (!best || room > bestRoom) {
+    if (holder == storeId()) available -= 1e-3;
+    if (!best || available > bestAvailable) {
       best = holder;
-      bestRoom = room;
+      bestAvailable = available;
     }
   }
   return best;
 }
 
-std::int64_t FetchDesk::paced(const Fetch& fetch, std::int64_t rung, const LinkId& bottleneck,
-                              MonotonicTime now, Outbox& outbox) {
-  auto [entry, fresh] = rungs_.try_emplace({fetch.tenant, bottleneck}, Paced{rung, now});
-  Paced& pace = entry->second;
-  if (!fresh && pace.rung != rung && now - pace.changed >= options_.rungPace) {
-    pace = {rung, now};
+std::int64_t FetchPlanner::limitRungChanges(const Fetch& fetch, std::int64_t rung,
+                                            const LinkId& bottleneck, MonotonicTime now,
+                                            Outbox& outbox) {
+  auto [entry, inserted] =
+      rungStates_.try_emplace({fetch.tenant, bottleneck}, RungState{rung, now});
+  RungState& state = entry->second;
+  if (!inserted && state.rung != rung && now - state.changedAt >= options_.rungPace) {
+    state = {rung, now};
     ++rungChanges_;
     outbox.count("fetch.rungChanges");
   }
-  return std::clamp(pace.rung, fetch.want.floorRung, fetch.want.topRung);
+  return std::clamp(state.rung, fetch.planStream.floorRung, fetch.planStream.topRung);
 }
 
-std::int64_t FetchDesk::begin(Fetch fetch, const Setup& setup, MonotonicTime now, Outbox& outbox) {
-  std::int64_t rung = options_.planMode == 1 ? fetch.want.floorRung : fetch.want.topRung;
-  StreamId stream = fetch.want.stream;
-  fetch.sent = now;
-  fetch.bottleneck = fetch.want.links.front();
-  for (const auto& link : fetch.want.links) books_[link].usedSinceRun = true;
-  Fetch& kept = fetches_[stream] = std::move(fetch);
+std::int64_t FetchPlanner::start(Fetch fetch, const Setup& setup, MonotonicTime now,
+                                 Outbox& outbox) {
+  std::int64_t rung =
+      options_.planMode == 1 ? fetch.planStream.floorRung : fetch.planStream.topRung;
+  StreamId stream = fetch.planStream.stream;
+  fetch.sentAt = now;
+  fetch.bottleneck = fetch.planStream.links.front();
+  for (const auto& link : fetch.planStream.links) links_[link].usedSinceRun = true;
+  Fetch& started = fetches_[stream] = std::move(fetch);
   if (options_.planMode == 0) {
     // The new stream joins the group of its most congested link, with all running streams.
-    plan_ = settleNow(setup, &kept, now);
+    plan_ = planAllStreams(setup, &started, now);
     const PlanShare& share = plan_.shares.at(stream);
-    kept.bottleneck = share.bottleneck;
-    rung = paced(kept, share.rung, share.bottleneck, now, outbox);
+    started.bottleneck = share.bottleneck;
+    rung = limitRungChanges(started, share.rung, share.bottleneck, now, outbox);
   }
-  kept.rung = rung;
-  kept.rate = setup.rungs.at(static_cast<std::size_t>(rung)).rate;
-  kept.topRate = setup.rungs.at(static_cast<std::size_t>(kept.want.topRung)).rate;
+  started.rung = rung;
+  started.rate = setup.rungs.at(static_cast<std::size_t>(rung)).rate;
+  started.topRate = setup.rungs.at(static_cast<std::size_t>(started.planStream.topRung)).rate;
   outbox.count("fetch.begun");
   outbox.count("fetch.rung." + std::to_string(rung));
   return rung;
 }
 
-FetchDesk::MixKey FetchDesk::keyOf(const Fetch& fetch) {
-  return {fetch.want.links, fetch.className, fetch.want.floorRung, fetch.want.topRung};
+FetchPlanner::StreamKindKey FetchPlanner::kindOf(const Fetch& fetch) {
+  return {fetch.planStream.links, fetch.className, fetch.planStream.floorRung,
+          fetch.planStream.topRung};
 }
 
-void FetchDesk::smooth(MonotonicTime now) {
+void FetchPlanner::updateStreamCounts(MonotonicTime now) {
   double span = smoothedAt_ == kNever ? 0 : inSeconds(now - smoothedAt_);
   smoothedAt_ = now;
-  double keep = std::exp(-span / inSeconds(options_.mixSmoothing));
-  for (auto& [key, count] : mixes_) count *= keep;
-  for (const auto& [stream, fetch] : fetches_) mixes_[keyOf(fetch)] += 1 - keep;
-  std::erase_if(mixes_, [](const auto& entry) { return entry.second < kLeastNoted; });
+  double decay = std::exp(-span / inSeconds(options_.mixSmoothing));
+  for (auto& [key, count] : streamCounts_) count *= decay;
+  for (const auto& [stream, fetch] : fetches_) streamCounts_[kindOf(fetch)] += 1 - decay;
+  std::erase_if(streamCounts_,
+                [](const auto& entry) { return entry.second < kMinReportedStreams; });
 }
 
 // Uses the reports of all routers, so that each computes the same capacity: the mean of the
 // reported fractions, and the largest reported cut.
-double FetchDesk::capacityOf(const LinkBook& book, const LinkTotal* total) const {
-  if (total == nullptr) return book.told * options_.capacityStart;
-  return book.told * total->meanFraction(options_.capacityStart) * (1 - total->cut);
+double FetchPlanner::capacityOf(const LinkState& state, const LinkTotal* total) const {
+  if (total == nullptr) return state.listedCapacity * options_.capacityStart;
+  return state.listedCapacity * total->meanFraction(options_.capacityStart) * (1 - total->cut);
 }
 
-double FetchDesk::commonCapacity(const LinkId& link, MonotonicTime now) const {
-  auto book = books_.find(link);
-  return book == books_.end() ? 0 : capacityOf(book->second, notes_.total(link, now));
+double FetchPlanner::capacityForAll(const LinkId& link, MonotonicTime now) const {
+  auto state = links_.find(link);
+  return state == links_.end() ? 0 : capacityOf(state->second, usageTable_.total(link, now));
 }
 
-FetchDesk::NumberedLinks FetchDesk::numberedLinks(MonotonicTime now) const {
+FetchPlanner::NumberedLinks FetchPlanner::numberedLinks(MonotonicTime now) const {
   NumberedLinks links;
-  links.books.resize(notes_.linkCount());
-  links.capacities.resize(notes_.linkCount());
-  for (std::uint32_t number = 0; number < notes_.linkCount(); ++number) {
-    auto book = books_.find({notes_.linkName(number)});
-    if (book == books_.end()) continue;
-    links.books[number] = &book->second;
-    links.capacities[number] = capacityOf(book->second, &notes_.total(number, now));
+  links.states.resize(usageTable_.linkCount());
+  links.capacities.resize(usageTable_.linkCount());
+  for (std::uint32_t number = 0; number < usageTable_.linkCount(); ++number) {
+    auto state = links_.find({usageTable_.linkName(number)});
+    if (state == links_.end()) continue;
+    links.states[number] = &state->second;
+    links.capacities[number] = capacityOf(state->second, &usageTable_.total(number, now));
   }
   return links;
 }
 
-double FetchDesk::crossingOf(const NumberedLinks& links, const MixNumbers& mix) const {
-  if (mix.linkCount < 2) return 1;
-  const LinkBook* source = links.books[mix.links[0]];
-  const LinkBook* engine = links.books[mix.links[1]];
-  return source == nullptr || engine == nullptr ? 1 : crossing(source->zone, engine->zone);
+double FetchPlanner::streamWeight(const NumberedLinks& links, const StreamKind& kind) const {
+  if (kind.linkCount < 2) return 1;
+  const LinkState* source = links.states[kind.links[0]];
+  const LinkState* engine = links.states[kind.links[1]];
+  return source == nullptr || engine == nullptr ? 1 : transferWeight(source->zone, engine->zone);
 }
 
 // Reported counts are means over time, and a new stream adds to them. Each count is therefore
 // raised as if its most loaded link carried one more stream, and by a margin of the square root of
 // its load.
-std::vector<NotedMix> FetchDesk::raisedMixes(MonotonicTime now) const {
-  std::vector<NotedMix> mixes = notes_.mixes(now);
-  std::vector<double> crowd(notes_.linkCount());
-  for (const auto& mix : mixes)
-    for (std::uint32_t link : mix.numbers.path()) crowd[link] += mix.count;
-  for (auto& mix : mixes) {
-    double most = 0;
-    for (std::uint32_t link : mix.numbers.path()) most = std::max(most, crowd[link]);
-    if (most > 0) mix.count *= (most + 1 + std::sqrt(most)) / most;
+std::vector<StreamKindCount> FetchPlanner::raisedStreamCounts(MonotonicTime now) const {
+  std::vector<StreamKindCount> counts = usageTable_.streamCounts(now);
+  std::vector<double> linkLoads(usageTable_.linkCount());
+  for (const auto& kindCount : counts)
+    for (std::uint32_t link : kindCount.kind.path()) linkLoads[link] += kindCount.count;
+  for (auto& kindCount : counts) {
+    double highestLoad = 0;
+    for (std::uint32_t link : kindCount.kind.path())
+      highestLoad = std::max(highestLoad, linkLoads[link]);
+    if (highestLoad > 0)
+      kindCount.count *= (highestLoad + 1 + std::sqrt(highestLoad)) / highestLoad;
   }
-  return mixes;
+  return counts;
 }
 
-PlanStream FetchDesk::streamOf(const Setup& setup, const std::string& className,
-                               std::int64_t floorRung, std::int64_t topRung) const {
+PlanStream FetchPlanner::makePlanStream(const Setup& setup, const std::string& className,
+                                        std::int64_t floorRung, std::int64_t topRung) const {
   auto last = static_cast<std::int64_t>(setup.rungs.size()) - 1;
   PlanStream stream;
   if (auto found = setup.classes.find(className); found != setup.classes.end())
@@ -207,142 +220,150 @@
 }
 
 // Plans the reported streams of all routers at once: equal reports give equal levels.
-Plan FetchDesk::settleNow(const Setup& setup, const Fetch* joining, MonotonicTime now) const {
+FetchPlan FetchPlanner::planAllStreams(const Setup& setup, const Fetch* joining,
+                                       MonotonicTime now) const {
   NumberedLinks links = numberedLinks(now);
-  std::optional<MixNumbers> joiningMix;
+  std::optional<StreamKind> joiningKind;
   if (joining != nullptr)
-    joiningMix = notes_.find(joining->want.links, joining->className, joining->want.floorRung,
-                             joining->want.topRung);
+    joiningKind = usageTable_.find(joining->planStream.links, joining->className,
+                                   joining->planStream.floorRung, joining->planStream.topRung);
   std::vector<PlanStream> streams;
   std::map<LinkId, double> capacities;
-  bool joined = false;
-  for (const auto& mix : raisedMixes(now)) {
-    const MixNumbers& numbers = mix.numbers;
+  bool joiningCounted = false;
+  for (const auto& kindCount : raisedStreamCounts(now)) {
+    const StreamKind& kind = kindCount.kind;
     PlanStream stream =
-        streamOf(setup, notes_.className(numbers.className), numbers.floorRung, numbers.topRung);
-    bool joins = joiningMix == numbers;
-    joined = joined || joins;
-    stream.stream = joins ? joining->want.stream : StreamId{kNotedStreams + streams.size()};
-    for (std::uint32_t link : numbers.path()) stream.links.push_back({notes_.linkName(link)});
-    stream.count = mix.count * crossingOf(links, numbers);  // times the weight of its transfers
+        makePlanStream(setup, usageTable_.className(kind.className), kind.floorRung, kind.topRung);
+    bool joins = joiningKind == kind;
+    joiningCounted = joiningCounted || joins;
+    stream.stream =
+        joins ? joining->planStream.stream : StreamId{kFirstReportedStreamId + streams.size()};
+    for (std::uint32_t link : kind.path()) stream.links.push_back({usageTable_.linkName(link)});
+    stream.count =
+        kindCount.count * streamWeight(links, kind);  // times the weight of its transfers
     streams.push_back(std::move(stream));
   }
-  for (std::uint32_t number = 0; number < links.books.size(); ++number)
-    if (links.books[number] != nullptr)
-      capacities[{notes_.linkName(number)}] = links.capacities[number];
-  if (joining != nullptr && !joined) {
-    const PlanStream& want = joining->want;
-    PlanStream stream = streamOf(setup, joining->className, want.floorRung, want.topRung);
-    stream.stream = want.stream;
-    stream.links = want.links;
-    stream.count = pathCrossing(want.links);
-    for (const auto& link : want.links) capacities[link] = commonCapacity(link, now);
+  for (std::uint32_t number = 0; number < links.states.size(); ++number)
+    if (links.states[number] != nullptr)
+      capacities[{usageTable_.linkName(number)}] = links.capacities[number];
+  if (joining != nullptr && !joiningCounted) {
+    const PlanStream& planStream = joining->planStream;
+    PlanStream stream =
+        makePlanStream(setup, joining->className, planStream.floorRung, planStream.topRung);
+    stream.stream = planStream.stream;
+    stream.links = planStream.links;
+    stream.count = pathWeight(planStream.links);
+    for (const auto& link : planStream.links) capacities[link] = capacityForAll(link, now);
     streams.push_back(std::move(stream));
   }
-  return settle(streams, setup.rungs, capacities, options_);
+  return computeFetchPlan(streams, setup.rungs, capacities, options_);
 }
 
-void FetchDesk::firstEvent(StreamId stream, Duration base, MonotonicTime now, Outbox& outbox) {
+void FetchPlanner::handleFirstEvent(StreamId stream, Duration baseline, MonotonicTime now,
+                                    Outbox& outbox) {
   auto found = fetches_.find(stream);
   if (found == fetches_.end()) return;
   const Fetch& fetch = found->second;
   double expected = fetch.rate > 0 ? fetch.megabytes / fetch.rate : 0;
-  double seen = inSeconds(now - fetch.sent) - inSeconds(base);
-  bool shortDelivery = expected > 0 && seen > expected * 1.25 + 0.05;
-  if (shortDelivery) {
-    double missing = std::clamp(1 - expected / seen, 0.0, 0.9);
-    LinkBook& book = books_[fetch.bottleneck];
+  double measured = inSeconds(now - fetch.sentAt) - inSeconds(baseline);
+  bool slowDelivery = expected > 0 && measured > expected * 1.25 + 0.05;
+  if (slowDelivery) {
+    double shortfall = std::clamp(1 - expected / measured, 0.0, 0.9);
+    LinkState& state = links_[fetch.bottleneck];
     // If the fetch was planned under the last cut and was slow all the same, both cuts multiply.
-    double before = easedCut(book, now);
-    book.cut = fetch.sent > book.cutAt ? std::min(0.9, 1 - (1 - before) * (1 - missing))
-                                       : std::max(before, missing);
-    book.cutAt = now;
-    book.shortSinceRun = true;
-    book.missing = missing;
-    touched_ = true;
+    double previousCut = easedCut(state, now);
+    state.capacityCut = fetch.sentAt > state.capacityCutAt
+                            ? std::min(0.9, 1 - (1 - previousCut) * (1 - shortfall))
+                            : std::max(previousCut, shortfall);
+    state.capacityCutAt = now;
+    state.slowSinceRun = true;
+    state.unreportedShortfall = shortfall;
+    rerunRequested_ = true;
     outbox.count("fetch.short");
   }
-  drop(stream);
+  remove(stream);
 }
 
-void FetchDesk::drop(StreamId stream) {
+void FetchPlanner::remove(StreamId stream) {
   auto found = fetches_.find(stream);
   if (found == fetches_.end()) return;
-  if (found->second.joined) book(found->second, -1);
+  if (found->second.reserved) updateReservations(found->second, -1);
   fetches_.erase(found);
 }
 
-void FetchDesk::hear(const UsageNotification& note, MonotonicTime now) {
-  notes_.hear(note, now);
-  for (const auto& usage : note.links) {
-    if (usage.missing <= 0) continue;
-    if (auto book = books_.find(usage.link); book != books_.end())
-      book->second.shortSinceRun = true;
+void FetchPlanner::record(const LinkUsageNotification& notification, MonotonicTime now) {
+  usageTable_.record(notification, now);
+  for (const auto& usage : notification.links) {
+    if (usage.undeliveredFraction <= 0) continue;
+    if (auto state = links_.find(usage.link); state != links_.end())
+      state->second.slowSinceRun = true;
   }
-  touched_ = true;
+  rerunRequested_ = true;
 }
 
-void FetchDesk::tick(const Setup& setup, MonotonicTime now, Outbox& outbox) {
-  notes_.expire(now);
-  smooth(now);
+void FetchPlanner::tick(const Setup& setup, MonotonicTime now, Outbox& outbox) {
+  usageTable_.expire(now);
+  updateStreamCounts(now);
   // Besides the timer, notifications and snapshots cause reruns; those of many routers share one.
-  bool due = now >= nextRun_ || (touched_ && now - lastRun_ >= milliseconds(250));
+  bool due = now >= nextRun_ || (rerunRequested_ && now - lastRun_ >= milliseconds(250));
   if (due && !setup.rungs.empty()) rerun(setup, now, outbox);
 }
 
-void FetchDesk::rerun(const Setup& setup, MonotonicTime now, Outbox& outbox) {
+void FetchPlanner::rerun(const Setup& setup, MonotonicTime now, Outbox& outbox) {
   nextRun_ = now + options_.planEvery;
   lastRun_ = now;
-  touched_ = false;
-  for (auto& [link, book] : books_) {  // use more of a link without slow deliveries
-    if (book.usedSinceRun && !book.shortSinceRun)
-      book.fraction = std::min(book.fraction + options_.capacityRise, options_.capacityTop);
-    book.usedSinceRun = book.shortSinceRun = false;
+  rerunRequested_ = false;
+  for (auto& [link, state] : links_) {  // use more of a link without slow deliveries
+    if (state.usedSinceRun && !state.slowSinceRun)
+      state.usableFraction =
+          std::min(state.usableFraction + options_.capacityRise, options_.capacityTop);
+    state.usedSinceRun = state.slowSinceRun = false;
   }
-  plan_ = settleNow(setup, nullptr, now);
-  refreshBooks(now);
+  plan_ = planAllStreams(setup, nullptr, now);
+  refreshLinks(now);
   outbox.count("fetch.reruns");
 }
 
-UsageNotification FetchDesk::makeNote(MemberId self, MonotonicTime now) const {
+LinkUsageNotification FetchPlanner::buildNotification(MemberId self, MonotonicTime now) const {
   std::map<LinkId, LinkUsage> usages;
   for (const auto& [stream, fetch] : fetches_) {
-    double crossing = pathCrossing(fetch.want.links);
-    for (const auto& link : fetch.want.links) {
+    double weight = pathWeight(fetch.planStream.links);
+    for (const auto& link : fetch.planStream.links) {
       LinkUsage& usage = usages[link];
-      usage.rate += fetch.rate * crossing;
-      usage.demand += fetch.topRate * crossing;
+      usage.rate += fetch.rate * weight;
+      usage.demand += fetch.topRate * weight;
       ++usage.streams;
     }
   }
-  UsageNotification note{self, {}, {}};
-  for (const auto& [key, count] : mixes_) {
+  LinkUsageNotification notification{self, {}, {}};
+  for (const auto& [key, count] : streamCounts_) {
     const auto& [path, className, floor, top] = key;
-    note.mixes.push_back({className, floor, top, path, count});
+    notification.streamMixes.push_back({className, floor, top, path, count});
     for (const auto& link : path) usages.try_emplace(link);
   }
-  for (const auto& [link, book] : books_) {
-    double eased = easedCut(book, now);
-    if (book.missing > 0 || eased > 0.01) usages.try_emplace(link);
+  for (const auto& [link, state] : links_) {
+    double cut = easedCut(state, now);
+    if (state.unreportedShortfall > 0 || cut > 0.01) usages.try_emplace(link);
     auto usage = usages.find(link);
     if (usage == usages.end()) continue;
-    usage->second.missing = book.missing;
-    usage->second.fraction = book.fraction;
-    usage->second.cut = eased;
+    usage->second.undeliveredFraction = state.unreportedShortfall;
+    usage->second.usableFraction = state.usableFraction;
+    usage->second.capacityReduction = cut;
   }
   for (auto& [link, usage] : usages) {
     usage.link = link;
-    note.links.push_back(usage);
+    notification.links.push_back(usage);
   }
-  return note;
+  return notification;
 }
 
-UsageNotification FetchDesk::note(MemberId self, const Setup&, MonotonicTime now) {
-  UsageNotification note = makeNote(self, now);
-  for (auto& [link, book] : books_) book.missing = 0;  // reported once
-  notes_.setSelf(self);
-  hear(note, now);  // this router plans with exactly what it reported
-  return note;
+LinkUsageNotification FetchPlanner::makeNotification(MemberId self, const Setup&,
+                                                     MonotonicTime now) {
+  LinkUsageNotification notification = buildNotification(self, now);
+  for (auto& [link, state] : links_) state.unreportedShortfall = 0;  // reported once
+  usageTable_.setSelf(self);
+  record(notification, now);  // this router plans with exactly what it reported
+  return notification;
 }
 
 }  // namespace peppergate
--- a/src/core/fetch_plan.cc
+++ b/src/core/fetch_plan.cc
@@ -27,8 +27,8 @@
 
 /// Merges streams that the search need not distinguish. There are few kinds however many streams,
 /// so each step of the search takes time in proportion to the number of kinds only.
-std::vector<RateKind> kindsOf(std::span<const PlanStream* const> streams,
-                              std::span<const Rung> rungs) {
+std::vector<RateKind> mergeStreams(std::span<const PlanStream* const> streams,
+                                   std::span<const Rung> rungs) {
   std::vector<RateKind> kinds;
   for (const PlanStream* stream : streams) {
     double low = rungRate(rungs, stream->floorRung), high = rungRate(rungs, stream->topRung);
@@ -45,14 +45,14 @@
 double totalAt(std::span<const RateKind> kinds, double level) {
   double total = 0;
   for (const auto& kind : kinds)
-    total += kind.count * std::clamp(rateAt(kind.tenantClass, level), kind.low, kind.high);
+    total += kind.count * std::clamp(rateForUtility(kind.tenantClass, level), kind.low, kind.high);
   return total;
 }
 
 /// Links and streams by number, so that the plan visits each stream once for each of its links.
 struct LinkTable {
-  std::vector<const LinkId*> names;
-  std::vector<double> wanted, room;
+  std::vector<const LinkId*> linkNames;
+  std::vector<double> demand, remaining;
   std::vector<std::vector<std::uint32_t>> streamsOf;  // by link; each stream once
   std::vector<std::vector<std::uint32_t>> linksOf;    // by stream; each link once
 
@@ -63,10 +63,10 @@
       const PlanStream& stream = streams[number];
       auto& links = linksOf.emplace_back();
       for (const auto& link : stream.links) {
-        auto [found, fresh] =
-            numbers.try_emplace(link.value, static_cast<std::uint32_t>(names.size()));
-        if (fresh) add(link, capacities);
-        wanted[found->second] += stream.count * rungRate(rungs, stream.topRung);
+        auto [found, inserted] =
+            numbers.try_emplace(link.value, static_cast<std::uint32_t>(linkNames.size()));
+        if (inserted) add(link, capacities);
+        demand[found->second] += stream.count * rungRate(rungs, stream.topRung);
         if (std::ranges::find(links, found->second) != links.end()) continue;
         links.push_back(found->second);
         streamsOf[found->second].push_back(number);
@@ -75,48 +75,49 @@
   }
   /// Links by falling congestion ratio, and by name where the ratios are equal.
   std::vector<std::uint32_t> byRatio() const {
-    std::vector<std::uint32_t> order(names.size());
+    std::vector<std::uint32_t> order(linkNames.size());
     std::iota(order.begin(), order.end(), 0U);
     std::ranges::sort(order, [&](std::uint32_t one, std::uint32_t other) {
       double first = ratio(one), second = ratio(other);
-      return first != second ? first > second : *names[one] < *names[other];
+      return first != second ? first > second : *linkNames[one] < *linkNames[other];
     });
     return order;
   }
   double ratio(std::uint32_t link) const {
-    double capacity = told[link];
-    return capacity > 0 ? wanted[link] / capacity : std::numeric_limits<double>::infinity();
+    double capacity = givenCapacity[link];
+    return capacity > 0 ? demand[link] / capacity : std::numeric_limits<double>::infinity();
   }
 
  private:
-  std::vector<double> told;  // capacities as given, not reduced by earlier groups
+  std::vector<double> givenCapacity;  // capacities as given, not reduced by earlier groups
   void add(const LinkId& link, const std::map<LinkId, double>& capacities) {
     auto capacity = capacities.find(link);
-    names.push_back(&link);
-    told.push_back(capacity == capacities.end() ? 0 : capacity->second);
-    room.push_back(told.back());
-    wanted.push_back(0);
+    linkNames.push_back(&link);
+    givenCapacity.push_back(capacity == capacities.end() ? 0 : capacity->second);
+    remaining.push_back(givenCapacity.back());
+    demand.push_back(0);
     streamsOf.emplace_back();
   }
 };
 
 }  // namespace
 
-double worthOf(const TenantClass& tenantClass, double rate) {
+double utilityOf(const TenantClass& tenantClass, double rate) {
   return tenantClass.a * std::pow(rate, tenantClass.b) + tenantClass.c;
 }
 
-double rateAt(const TenantClass& tenantClass, double worth) {
-  double base = (worth - tenantClass.c) / tenantClass.a;
+double rateForUtility(const TenantClass& tenantClass, double utility) {
+  double base = (utility - tenantClass.c) / tenantClass.a;
   // No rate has this utility: it is above the whole curve if b is negative, otherwise below it.
   if (base <= 0) return tenantClass.b < 0 ? std::numeric_limits<double>::infinity() : 0;
   return std::pow(base, 1 / tenantClass.b);
 }
 
-std::int64_t rungUnder(std::span<const Rung> rungs, const PlanStream& stream, double level) {
+std::int64_t highestRungWithin(std::span<const Rung> rungs, const PlanStream& stream,
+                               double level) {
   std::int64_t rung = stream.floorRung;
   while (rung < stream.topRung &&
-         worthOf(stream.tenantClass, rungRate(rungs, rung + 1)) <= level + 1e-12)
+         utilityOf(stream.tenantClass, rungRate(rungs, rung + 1)) <= level + 1e-12)
     ++rung;
   return rung;
 }
@@ -126,10 +127,10 @@
   double lowest = std::numeric_limits<double>::infinity();
   double highest = -lowest;
   for (const PlanStream* stream : streams) {
-    lowest = std::min(lowest, worthOf(stream->tenantClass, rungRate(rungs, stream->floorRung)));
-    highest = std::max(highest, worthOf(stream->tenantClass, rungRate(rungs, stream->topRung)));
+    lowest = std::min(lowest, utilityOf(stream->tenantClass, rungRate(rungs, stream->floorRung)));
+    highest = std::max(highest, utilityOf(stream->tenantClass, rungRate(rungs, stream->topRung)));
   }
-  auto kinds = kindsOf(streams, rungs);
+  auto kinds = mergeStreams(streams, rungs);
   LevelSearch search;
   search.level = lowest;  // if no level fits, every stream is at its floor rung
   search.total = totalAt(kinds, lowest);
@@ -156,9 +157,9 @@
   return search;
 }
 
-Plan settle(std::span<const PlanStream> streams, std::span<const Rung> rungs,
-            const std::map<LinkId, double>& capacities, const Options& options) {
-  Plan plan;
+FetchPlan computeFetchPlan(std::span<const PlanStream> streams, std::span<const Rung> rungs,
+                           const std::map<LinkId, double>& capacities, const Options& options) {
+  FetchPlan plan;
   if (rungs.empty()) return plan;
   LinkTable table(streams, rungs, capacities);
   std::vector<bool> grouped(streams.size(), false);
@@ -172,20 +173,20 @@
       group.push_back(&streams[number]);
     }
     if (group.empty()) continue;
-    LevelSearch search = searchLevel(group, rungs, table.room[link], options);
+    LevelSearch search = searchLevel(group, rungs, table.remaining[link], options);
     for (std::uint32_t number : members) {
       const PlanStream& stream = streams[number];
-      std::int64_t rung = rungUnder(rungs, stream, search.level);
-      plan.shares[stream.stream] = {rung, *table.names[link], search.level};
+      std::int64_t rung = highestRungWithin(rungs, stream, search.level);
+      plan.shares[stream.stream] = {rung, *table.linkNames[link], search.level};
       grouped[number] = true;
       // Subtract its rate from the other links that it crosses.
       for (std::uint32_t crossed : table.linksOf[number])
         if (crossed != link)
-          table.room[crossed] =
-              std::max(0.0, table.room[crossed] - stream.count * rungRate(rungs, rung));
+          table.remaining[crossed] =
+              std::max(0.0, table.remaining[crossed] - stream.count * rungRate(rungs, rung));
     }
-    plan.groups.push_back({*table.names[link], table.ratio(link), table.room[link], search.level,
-                           search.total, search.rounds, search.fits, group.size()});
+    plan.groups.push_back({*table.linkNames[link], table.ratio(link), table.remaining[link],
+                           search.level, search.total, search.rounds, search.fits, group.size()});
   }
   return plan;
 }
--- a/src/core/fetch_plan.h
+++ b/src/core/fetch_plan.h
@@ -48,18 +48,19 @@
 };
 
 /// A rung for each stream, and the groups that they were computed in.
-struct Plan {
+struct FetchPlan {
   std::unordered_map<StreamId, PlanShare, StreamIdHash> shares;
   std::vector<GroupResult> groups;  // by falling congestion ratio
 };
 
-/// The utility of a rate for a class. Example: `worthOf(TenantClass{-0.8, -0.5, 1, 0}, 16) == 0.8`.
-double worthOf(const TenantClass& tenantClass, double rate);
+/// The utility of a rate for a class. Example: `utilityOf(TenantClass{-0.8, -0.5, 1, 0}, 16) ==
+/// 0.8`.
+double utilityOf(const TenantClass& tenantClass, double rate);
 /// The rate with a given utility: ((utility - c) / a)^(1 / b).
 /// Example: `rateAt(tenantClass, 0.8) == 16`.
-double rateAt(const TenantClass& tenantClass, double worth);
+double rateForUtility(const TenantClass& tenantClass, double utility);
 /// The highest rung between the stream's floor and top whose utility does not exceed the level.
-std::int64_t rungUnder(std::span<const Rung> rungs, const PlanStream& stream, double level);
+std::int64_t highestRungWithin(std::span<const Rung> rungs, const PlanStream& stream, double level);
 
 /// The outcome of a level search.
 struct LevelSearch {
@@ -73,7 +74,7 @@
 LevelSearch searchLevel(std::span<const PlanStream* const> streams, std::span<const Rung> rungs,
                         double capacity, const Options& options);
 /// Computes the plan: one level for each group of streams, and a rung for each stream.
-Plan settle(std::span<const PlanStream> streams, std::span<const Rung> rungs,
-            const std::map<LinkId, double>& capacities, const Options& options);
+FetchPlan computeFetchPlan(std::span<const PlanStream> streams, std::span<const Rung> rungs,
+                           const std::map<LinkId, double>& capacities, const Options& options);
 
 }  // namespace peppergate
--- a/src/core/front_node.h
+++ b/src/core/front_node.h
@@ -23,17 +23,19 @@
   const Follower& follower() const { return *follower_; }
   const EngineWatch& watch() const { return *watch_; }
   const EngineList& list() const { return list_; }
-  const FetchDesk& fetches() const { return *fetches_; }
+  const FetchPlanner& fetchPlanner() const { return *fetchPlanner_; }
   /// The running attempt of a stream, if it has one; used to throttle it for a slow caller.
-  std::optional<ShotId> shotOf(StreamId stream) const { return streams_->shotOf(stream); }
+  std::optional<StreamAttemptId> attemptOf(StreamId stream) const {
+    return streams_->attemptOf(stream);
+  }
 
  private:
   void tick(MonotonicTime now);
-  void tellUsage(MonotonicTime now);
-  void arrived(const Arrived& event, MonotonicTime now);
-  void takeList(const std::string& text, MonotonicTime now);
-  void operatorAsked(const OperatorRequest& asked, MonotonicTime now);
-  void webAnswered(const WebAnswered& answer, MonotonicTime now);
+  void broadcastUsage(MonotonicTime now);
+  void handleMessage(const MessageReceived& event, MonotonicTime now);
+  void installEngineList(const std::string& text, MonotonicTime now);
+  void handleOperatorRequest(const OperatorRequest& request, MonotonicTime now);
+  void handleWebAnswer(const HttpCallAnswered& answer, MonotonicTime now);
 
   Options options_;
   Random random_;
@@ -45,12 +47,12 @@
   std::unique_ptr<OperatorHandler> operatorHandler_;
   std::unique_ptr<PrefixIndex> index_;
   std::unique_ptr<EngineWatch> watch_;
-  std::unique_ptr<FetchDesk> fetches_;
-  std::unique_ptr<Gate> gate_;
+  std::unique_ptr<FetchPlanner> fetchPlanner_;
+  std::unique_ptr<AdmissionController> admission_;
   std::unique_ptr<Streams> streams_;
   std::optional<TicketId> listTicket_;
-  int emptyNotes_ = 0;  // consecutive ones
-  MonotonicTime nextList_{}, nextUsage_{}, drainSince_ = kForever;
+  int emptyNotifications_ = 0;  // consecutive ones
+  MonotonicTime nextListRequest_{}, nextUsageBroadcast_{}, drainSince_ = kForever;
 };
 
 }  // namespace peppergate
--- a/src/core/leadership.cc
+++ b/src/core/leadership.cc
@@ -6,64 +6,65 @@
 
 namespace peppergate {
 Leadership::Leadership(const Options& options, Acceptor& acceptor, Membership& membership,
-                       Random& random, ReplicaOnDisk copy)
+                       Random& random, StoredReplica replica)
     : LeadershipCollaborators(acceptor, membership, random),
       options_(options),
-      replica_(std::move(copy)),
+      replica_(std::move(replica)),
       view_(acceptor.record().accepted) {
   // The replica's tag is an epoch that a leader used, possibly this core; it isn't used again.
-  seen_ = std::max({acceptor.record().promised, view_.epoch, replica_.tag});
+  highestEpochSeen_ = std::max({acceptor.record().promised, view_.epoch, replica_.tag});
 }
 
-bool Leadership::majority(const std::set<CoreId>& yes, const std::vector<CoreId>& voters) const {
+bool Leadership::isMajority(const std::set<CoreId>& cores,
+                            const std::vector<CoreId>& voters) const {
   auto count = static_cast<std::size_t>(
-      std::ranges::count_if(voters, [&](CoreId core) { return yes.contains(core); }));
+      std::ranges::count_if(voters, [&](CoreId core) { return cores.contains(core); }));
   if (options_.faults.has(ControlFault::kMajorityOffByOne)) return count * 2 >= voters.size();
   return count * 2 > voters.size();
 }
 
-bool Leadership::quorum(const std::set<CoreId>& yes, const View& view) const {
-  return majority(yes, view.voters) &&
-         (!asksFormerVoters(view) || majority(yes, view.formerVoters));
+bool Leadership::isQuorum(const std::set<CoreId>& cores, const View& view) const {
+  return isMajority(cores, view.voters) &&
+         (!needsFormerVoters(view) || isMajority(cores, view.formerVoters));
 }
 
-bool Leadership::asksFormerVoters(const View& view) const {
+bool Leadership::needsFormerVoters(const View& view) const {
   return !view.formerVoters.empty() && !options_.faults.has(ControlFault::kFormerVotersIgnored) &&
-         !options_.faults.has(ControlFault::kOneMajorityOfVoters);
+         !options_.faults.has(ControlFault::kFormerMajoritySkipped);
 }
 
-void Leadership::noteAccepted(const View& accepted, std::string_view why, MonotonicTime now,
+void Leadership::noteAccepted(const View& accepted, std::string_view reason, MonotonicTime now,
                               Outbox& outbox) {
-  bool settledThere = accepted.epoch == view_.epoch && accepted.formerVoters.empty();
-  if (settledThere && !leading_) view_.formerVoters.clear();
+  bool isSettled = accepted.epoch == view_.epoch && accepted.formerVoters.empty();
+  if (isSettled && !leading_) view_.formerVoters.clear();
   if (accepted.epoch <= view_.epoch || (accepted.primary == self() && leading_)) return;
   view_ = accepted;
-  if (leading_) stepDown(now, outbox, why);
+  if (leading_) stepDown(now, outbox, reason);
 }
 
-bool Leadership::leads(MonotonicTime now) const {
-  bool witnessed = now < leaseUntil_ || !options_.guards(Guard::kPrimaryLease);
-  return leading_ && !suspect_ && witnessed;
+bool Leadership::hasLeaderLease(MonotonicTime now) const {
+  bool leaseIsValid = now < leaseUntil_ || !options_.isGuardEnabled(SafetyGuard::kPrimaryLease);
+  return leading_ && !diskSuspect_ && leaseIsValid;
 }
 
 void Leadership::tick(MonotonicTime now, Outbox& outbox) {
   noteAccepted(acceptor_.record().accepted, "a newer view was accepted", now, outbox);
-  seen_ = std::max({seen_, acceptor_.record().promised, view_.epoch});
-  observePeers(now);
-  if (releasing_) sendRelease(*std::exchange(releasing_, std::nullopt), outbox);
-  if (suspect_) return;
-  watchDisk(now, outbox);
-  if (stalled_) return;
-  if (leading_ && !leads(now)) stepDown(now, outbox, "its lease ran out");
-  yieldWhenLeaving(now, outbox);
-  giveUpHopelessElection(now, outbox);
+  highestEpochSeen_ = std::max({highestEpochSeen_, acceptor_.record().promised, view_.epoch});
+  updatePeers(now);
+  if (releaseToResend_) sendRelease(*std::exchange(releaseToResend_, std::nullopt), outbox);
+  if (diskSuspect_) return;
+  checkDiskStall(now, outbox);
+  if (diskStalled_) return;
+  if (leading_ && !hasLeaderLease(now)) stepDown(now, outbox, "its lease ran out");
+  stepDownWhenLeaving(now, outbox);
+  abandonHopelessElection(now, outbox);
   // A candidate repeats its requests, too: leases of the last leader may be about to run out.
-  bool renews = leading_ || bootstrapping_ || phase_ == LeaderPhase::kPreparing ||
-                phase_ == LeaderPhase::kReplicating || phase_ == LeaderPhase::kAccepting;
-  if (renews && now >= nextRenewal_) renewOrContest(now, outbox);
+  bool renewsLease = leading_ || bootstrapping_ || phase_ == LeaderPhase::kPreparing ||
+                     phase_ == LeaderPhase::kReplicating || phase_ == LeaderPhase::kAccepting;
+  if (renewsLease && now >= nextRenewal_) renewOrContest(now, outbox);
   switch (phase_) {
     case LeaderPhase::kFollowing:
-      campaign(now, outbox);
+      campaignIfDue(now, outbox);
       break;
     case LeaderPhase::kBootstrapping:
     case LeaderPhase::kPreparing:
@@ -73,122 +74,123 @@
       // and a rival is detected by its votes rather than by a timeout.
       if (now - phaseSince_ >
           options_.replicateTimeout * (phase_ == LeaderPhase::kPreparing ? 3 : 1))
-        giveUpPhase(now, outbox);
+        abortPhase(now, outbox);
       break;
     case LeaderPhase::kLeading:
-      if (stuck(now))
+      if (isBatchStuck(now))
         for (CoreId backup : view_.backups)
-          if (!synced_.contains(backup)) failedReplicas_[backup] = now;
+          if (!syncedBackups_.contains(backup)) failedBackups_[backup] = now;
       considerViewChange(now, outbox);
       if (phase_ == LeaderPhase::kLeading) startBatch(now, outbox);
       break;
   }
 }
 
-void Leadership::watchDisk(MonotonicTime now, Outbox& outbox) {
+void Leadership::checkDiskStall(MonotonicTime now, Outbox& outbox) {
   MonotonicTime oldest = acceptor_.writingSince();
   for (const auto& [ticket, write] : writes_) oldest = std::min(oldest, write.since);
-  bool hangs = oldest != kForever && now - oldest > options_.syncTimeout;
-  if (hangs == stalled_) return;
-  stalled_ = hangs;  // until the write is done
-  if (!hangs) return;
+  bool isStalled = oldest != kForever && now - oldest > options_.syncTimeout;
+  if (isStalled == diskStalled_) return;
+  diskStalled_ = isStalled;  // until the write is done
+  if (!isStalled) return;
   outbox.count("disk.stalled");
   if (leading_ || phase_ != LeaderPhase::kFollowing) stepDown(now, outbox, "the disk stalled");
 }
 
-void Leadership::prepare(View wanted, MonotonicTime now, Outbox& outbox, bool bootstraps) {
-  seen_ = {seen_.value + 1};
-  wanted_ = std::move(wanted);
-  wanted_.epoch = seen_;
-  old_ = acceptor_.record().accepted.epoch > view_.epoch ? acceptor_.record().accepted : view_;
+void Leadership::startPrepare(View wanted, MonotonicTime now, Outbox& outbox, bool bootstraps) {
+  highestEpochSeen_ = {highestEpochSeen_.value + 1};
+  nextView_ = std::move(wanted);
+  nextView_.epoch = highestEpochSeen_;
+  previousView_ =
+      acceptor_.record().accepted.epoch > view_.epoch ? acceptor_.record().accepted : view_;
   bootstrapping_ = bootstraps;
   if (bootstraps) {  // the bootstrappers vote, whatever they accepted
-    old_.voters = wanted_.voters;
-    old_.formerVoters.clear();
+    previousView_.voters = nextView_.voters;
+    previousView_.formerVoters.clear();
   }
-  leaseEpoch_ = seen_;
-  promised_.clear();
-  accepted_.clear();
-  declined_.clear();
+  leaseEpoch_ = highestEpochSeen_;
+  promisedVoters_.clear();
+  acceptedVoters_.clear();
+  rejectedVoters_.clear();
   rivalVoters_.clear();
-  recapture_ = false;
+  needsHigherEpoch_ = false;
   phase_ = LeaderPhase::kPreparing;
   phaseSince_ = now;
   outbox.count("views.gathered");
-  renew(now, outbox);
+  renewLease(now, outbox);
 }
 
 void Leadership::raiseEpoch(MonotonicTime now, Outbox& outbox) {
   // A voter that promised a higher epoch to another candidate never grants this one, even after
   // that candidate has given up; voters that granted this one grant a higher one, too.
   MonotonicTime since = phaseSince_;
-  prepare(wanted_, now, outbox);
+  startPrepare(nextView_, now, outbox);
   phaseSince_ = since;
   outbox.count("views.outbid");
 }
 
-void Leadership::renew(MonotonicTime now, Outbox& outbox) {
+void Leadership::renewLease(MonotonicTime now, Outbox& outbox) {
   nextRenewal_ = now + options_.leaseRenewal;
   Epoch epoch = std::max(view_.epoch, leaseEpoch_);  // never below a promised epoch
   std::set<CoreId> asked = allVoters(view_);
-  asked.insert(wanted_.voters.begin(), wanted_.voters.end());
+  asked.insert(nextView_.voters.begin(), nextView_.voters.end());
   asked.insert(self());  // its own promise makes the epoch durable before it is used
   PrepareKind kind = bootstrapping_ ? PrepareKind::kBootstrap : PrepareKind::kLease;
   for (CoreId voter : asked)
     outbox.send(membership_.addressOf(voter), PrepareRequest{epoch, self(), now, kind});
-  repeat(outbox);
-  renewals_[now.microseconds];
-  while (renewals_.size() > 8) renewals_.erase(renewals_.begin());
+  resendUnanswered(outbox);
+  renewalGrants_[now.microseconds];
+  while (renewalGrants_.size() > 8) renewalGrants_.erase(renewalGrants_.begin());
 }
 
-void Leadership::hear(const PrepareReply& answer, MonotonicTime now, Outbox& outbox) {
-  membership_.heardFrom(answer.voter, std::min(answer.sentAt, now));
-  seen_ = std::max({seen_, answer.promised, answer.accepted.epoch});
-  noteAccepted(answer.accepted, "a voter accepted a newer view", now, outbox);
+void Leadership::handle(const PrepareReply& reply, MonotonicTime now, Outbox& outbox) {
+  membership_.noteAlive(reply.voter, std::min(reply.sentAt, now));
+  highestEpochSeen_ = std::max({highestEpochSeen_, reply.promised, reply.accepted.epoch});
+  noteAccepted(reply.accepted, "a voter accepted a newer view", now, outbox);
   if (phase_ == LeaderPhase::kPreparing && !bootstrapping_) {
     // A view that was accepted may be settled, so it counts as the predecessor.
-    if (answer.accepted.epoch > old_.epoch) old_ = answer.accepted;
-    bool known = answer.accepted.epoch == old_.epoch && answer.accepted.formerVoters.empty();
-    if (known) old_.formerVoters.clear();
+    if (reply.accepted.epoch > previousView_.epoch) previousView_ = reply.accepted;
+    bool isSettled =
+        reply.accepted.epoch == previousView_.epoch && reply.accepted.formerVoters.empty();
+    if (isSettled) previousView_.formerVoters.clear();
   }
-  if (!answer.granted) {
-    heardRejection(answer, now, outbox);
+  if (!reply.granted) {
+    handlePrepareRejection(reply, now, outbox);
     return;
   }
-  if (phase_ == LeaderPhase::kLeading && answer.epoch == view_.epoch)
-    watchFinalViews(answer, outbox);
-  auto round = renewals_.find(answer.sentAt.microseconds);
-  if (round != renewals_.end()) {
-    round->second.insert(answer.voter);
+  if (phase_ == LeaderPhase::kLeading && reply.epoch == view_.epoch) trackFinalViews(reply, outbox);
+  auto round = renewalGrants_.find(reply.sentAt.microseconds);
+  if (round != renewalGrants_.end()) {
+    round->second.insert(reply.voter);
     // The lease counts from the time of the request, and needs a majority of the newest voters.
-    if (holds(round->second))
-      leaseUntil_ = std::max(leaseUntil_, answer.sentAt + options_.leaseStop);
+    if (isLeaseQuorum(round->second))
+      leaseUntil_ = std::max(leaseUntil_, reply.sentAt + options_.leaseStop);
   }
-  if (phase_ != LeaderPhase::kPreparing || answer.epoch != wanted_.epoch) return;
+  if (phase_ != LeaderPhase::kPreparing || reply.epoch != nextView_.epoch) return;
   if (bootstrapping_) {
-    heardBootstrapper(answer, now, outbox);
+    handleBootstrapPromise(reply, now, outbox);
     return;
   }
-  promised_.insert(answer.voter);
-  rivalVoters_.erase(answer.voter);
+  promisedVoters_.insert(reply.voter);
+  rivalVoters_.erase(reply.voter);
   // An epoch that isn't on this disk could be used again after a power loss, for another state.
   const AcceptorRecord& own = acceptor_.record();
-  bool ownPromise = own.promised == wanted_.epoch && own.promisedTo == self();
-  if (ownPromise && quorum(promised_, old_)) prepared(now, outbox);
+  bool ownPromise = own.promised == nextView_.epoch && own.promisedTo == self();
+  if (ownPromise && isQuorum(promisedVoters_, previousView_)) handlePrepared(now, outbox);
 }
 
-void Leadership::watchFinalViews(const PrepareReply& answer, Outbox& outbox) {
+void Leadership::trackFinalViews(const PrepareReply& reply, Outbox& outbox) {
   // A voter that missed the acceptance is told again: a read-only leader and its grantors need
   // equal views.
   View final = settledView();
-  if (answer.accepted != final) {
-    outbox.send(membership_.addressOf(answer.voter), AcceptRequest{final, false});
+  if (reply.accepted != final) {
+    outbox.send(membership_.addressOf(reply.voter), AcceptRequest{final, false});
     return;
   }
   // Until a majority has it on disk, the former voters may be needed again, so none may leave.
-  finalVoters_.insert(answer.voter);
-  if (view_.formerVoters.empty() || !majority(finalVoters_, view_.voters)) return;
-  view_ = old_ = chosen_ = final;
+  finalVoters_.insert(reply.voter);
+  if (view_.formerVoters.empty() || !isMajority(finalVoters_, view_.voters)) return;
+  view_ = previousView_ = newestSettledView_ = final;
   outbox.count("views.final");
 }
 
@@ -198,162 +200,166 @@
   return settled;
 }
 
-bool Leadership::holds(const std::set<CoreId>& round) const {
-  const View& counted = leading_ ? view_ : (phase_ == LeaderPhase::kPreparing ? old_ : wanted_);
+bool Leadership::isLeaseQuorum(const std::set<CoreId>& grantors) const {
+  const View& counted =
+      leading_ ? view_ : (phase_ == LeaderPhase::kPreparing ? previousView_ : nextView_);
   // A view that was proposed since may be settled unknown to this core; then another core may have
   // a lease from a majority of its voters.
-  return quorum(round, counted) && std::ranges::all_of(proposed_, [&](const auto& voters) {
-           return majority(round, voters);
-         });
+  return isQuorum(grantors, counted) &&
+         std::ranges::all_of(proposedVoterSets_,
+                             [&](const auto& voters) { return isMajority(grantors, voters); });
 }
 
-void Leadership::heardRejection(const PrepareReply& answer, MonotonicTime now, Outbox& outbox) {
+void Leadership::handlePrepareRejection(const PrepareReply& reply, MonotonicTime now,
+                                        Outbox& outbox) {
   // A voter that promised a higher epoch to another core only grants an even higher one.
-  if (answer.promised > std::max(view_.epoch, leaseEpoch_)) recapture_ = true;
-  if (phase_ != LeaderPhase::kPreparing || leading_ || answer.epoch != wanted_.epoch) return;
-  if (answer.promised >= wanted_.epoch) recapture_ = true;  // to another, by equal number
-  declined_.insert(answer.voter);
+  if (reply.promised > std::max(view_.epoch, leaseEpoch_)) needsHigherEpoch_ = true;
+  if (phase_ != LeaderPhase::kPreparing || leading_ || reply.epoch != nextView_.epoch) return;
+  if (reply.promised >= nextView_.epoch) needsHigherEpoch_ = true;  // to another, by equal number
+  rejectedVoters_.insert(reply.voter);
   // A promise above the accepted epoch was given to a rival; otherwise the lease belongs to the
   // last leader and runs out soon.
-  if (answer.promised > answer.accepted.epoch) rivalVoters_.insert(answer.voter);
-  bool half = declined_.size() * 2 >= old_.voters.size();
-  if (majority(declined_, old_.voters) || half) yieldToRival(now, outbox);  // can't win now
+  if (reply.promised > reply.accepted.epoch) rivalVoters_.insert(reply.voter);
+  bool rejectedByHalf = rejectedVoters_.size() * 2 >= previousView_.voters.size();
+  if (isMajority(rejectedVoters_, previousView_.voters) || rejectedByHalf)
+    yieldToRival(now, outbox);  // can't win now
 }
 
-void Leadership::prepared(MonotonicTime now, Outbox& outbox) {
-  bool entitled = isMember(old_, self()) && replica_.tag >= old_.base;
-  if (!entitled && !ignoresReplicaTag()) {
+void Leadership::handlePrepared(MonotonicTime now, Outbox& outbox) {
+  bool hasIntactReplica =
+      isMember(previousView_, self()) && replica_.tag >= previousView_.baseEpoch;
+  if (!hasIntactReplica && !ignoresReplicaTag()) {
     outbox.push(
-        NoteState{"core: candidate has no intact replica of the last view, gives up the election"});
+        LogState{"core: candidate has no intact replica of the last view, gives up the election"});
     if (leading_) phase_ = LeaderPhase::kLeading;
-    else yieldVotes(outbox);  // frees them for an eligible candidate
-    nextTry_ = now + seconds(1);
+    else releaseVotes(outbox);  // frees them for an eligible candidate
+    nextAttempt_ = now + seconds(1);
     return;
   }
   phaseSince_ = now;
-  if (takingOver_) {
+  if (campaigning_) {
     // The first view keeps the same members: nothing is acknowledged in it, so that the member
     // which had all acknowledged changes still has them.
-    wanted_.primary = self();
-    wanted_.backups = old_.backups;
-    if (old_.primary != self()) {
-      std::erase(wanted_.backups, self());
-      wanted_.backups.push_back(old_.primary);
+    nextView_.primary = self();
+    nextView_.backups = previousView_.backups;
+    if (previousView_.primary != self()) {
+      std::erase(nextView_.backups, self());
+      nextView_.backups.push_back(previousView_.primary);
     }
-    wanted_.base = old_.base;
-    wanted_.voters = old_.voters;
-    wanted_.formerVoters = old_.formerVoters;
+    nextView_.baseEpoch = previousView_.baseEpoch;
+    nextView_.voters = previousView_.voters;
+    nextView_.formerVoters = previousView_.formerVoters;
     propose(now, outbox);
     return;
   }
   startReplication(now, outbox);
 }
 
-void Leadership::repeat(Outbox& outbox) {
+void Leadership::resendUnanswered(Outbox& outbox) {
   // Unanswered requests are sent again with each renewal, so that one lost message doesn't fail the
   // whole attempt.
   if (phase_ == LeaderPhase::kAccepting) requestAcceptance(outbox);
   if (phase_ == LeaderPhase::kBootstrapping && bootstrapping_ && ownSynced_)
-    prepareBootstrappers(outbox);
-  if (phase_ == LeaderPhase::kReplicating) replicate(outbox, true);
-  if (phase_ == LeaderPhase::kLeading && batchState_) replicate(outbox, false);
-  if (leading_ && witnessedState_ && !majority(witnesses_, view_.voters))
-    updateWitnesses(true, outbox);
+    requestBootstrapAcceptance(outbox);
+  if (phase_ == LeaderPhase::kReplicating) sendReplicas(outbox, true);
+  if (phase_ == LeaderPhase::kLeading && batchState_) sendReplicas(outbox, false);
+  if (leading_ && witnessedState_ && !isMajority(witnesses_, view_.voters))
+    sendWitnessUpdates(true, outbox);
 }
 
-void Leadership::settled(MonotonicTime now, Outbox& outbox) {
-  view_ = wanted_;
-  old_ = wanted_;
+void Leadership::leadSettledView(MonotonicTime now, Outbox& outbox) {
+  view_ = nextView_;
+  previousView_ = nextView_;
   finalVoters_.clear();
-  chosen_ = view_;
+  newestSettledView_ = view_;
   phase_ = LeaderPhase::kLeading;
   if (!leading_) ledSince_ = now;
   leading_ = true;
-  takingOver_ = recapture_ = bootstrapping_ = false;
+  campaigning_ = needsHigherEpoch_ = bootstrapping_ = false;
   leaseEpoch_ = view_.epoch;
-  proposed_.clear();
-  unconfirmed_ = view_.base != view_.epoch ||
+  proposedVoterSets_.clear();
+  unconfirmed_ = view_.baseEpoch != view_.epoch ||
                  view_.backups.size() < static_cast<std::size_t>(options_.backups);
   published_ = batchState_ && !unconfirmed_ ? *batchState_ : replica_.state;
-  named_ = named_ && witnessed(published_);
-  if (mayShow()) {
+  publishedIsWitnessed_ = publishedIsWitnessed_ && isWitnessed(published_);
+  if (publishedIsDurable()) {
     hasPublished_ = true;
-    if (!named_) requestWitnesses(published_, outbox);
-    nameIfWitnessed(now, outbox);
+    if (!publishedIsWitnessed_) requestWitnesses(published_, outbox);
+    showIfWitnessed(now, outbox);
   } else {
     outbox.count("views.tailKeptBack");
   }
   outbox.count("views.settled");
   if (!view_.formerVoters.empty()) announceSettled(outbox);
-  outbox.push(NoteState{"core: leads the view of epoch " + std::to_string(view_.epoch.value) +
-                        (unconfirmed_ ? ", unconfirmed" : ", confirmed by its backups")});
+  outbox.push(LogState{"core: leads the view of epoch " + std::to_string(view_.epoch.value) +
+                       (unconfirmed_ ? ", unconfirmed" : ", confirmed by its backups")});
   if (batchState_ && !unconfirmed_) {  // all replicas of the new view have the waiting batch
     ownSynced_ = true;
-    synced_.insert(view_.backups.begin(), view_.backups.end());
+    syncedBackups_.insert(view_.backups.begin(), view_.backups.end());
     finishBatch(now, outbox);
   }
-  renew(now, outbox);
-  nextTry_ = now;
+  renewLease(now, outbox);
+  nextAttempt_ = now;
 }
 
-void Leadership::stepDown(MonotonicTime now, Outbox& outbox, std::string_view why) {
-  leading_ = takingOver_ = recapture_ = named_ = false;
+void Leadership::stepDown(MonotonicTime now, Outbox& outbox, std::string_view reason) {
+  leading_ = campaigning_ = needsHigherEpoch_ = publishedIsWitnessed_ = false;
   witnessedState_.reset();
   batchState_.reset();
-  proposed_.clear();
-  yieldVotes(outbox);
-  for (auto& yes : pendingAcknowledgements_)
-    batch_.insert(batch_.end(), yes.answers.begin(), yes.answers.end());
+  proposedVoterSets_.clear();
+  releaseVotes(outbox);
+  for (auto& cores : pendingAcknowledgements_)
+    batchReplies_.insert(batchReplies_.end(), cores.replies.begin(), cores.replies.end());
   pendingAcknowledgements_.clear();
-  for (auto& [to, answer] : batch_) {
-    answer.outcome = ChangeOutcome::kLost;  // it may be applied later or not
-    answer.detail =
+  for (auto& [to, reply] : batchReplies_) {
+    reply.outcome = ChangeOutcome::kLost;  // it may be applied later or not
+    reply.detail =
         "the primary stepped down before the acknowledgement; repeat with the same change id";
-    answerChange(to, answer, outbox);
+    sendChangeReply(to, reply, outbox);
   }
-  batch_.clear();
-  refuseWaiting(ChangeOutcome::kNotPrimary, outbox);
-  nextTry_ = now + milliseconds(100 + static_cast<std::int64_t>(random_.below(300)));
-  if (leaving()) freeSince_ = now;  // cores that stay campaign first
+  batchReplies_.clear();
+  refuseQueuedChanges(ChangeOutcome::kNotPrimary, outbox);
+  nextAttempt_ = now + milliseconds(100 + static_cast<std::int64_t>(random_.below(300)));
+  if (leaving()) votesFreeSince_ = now;  // cores that stay campaign first
   outbox.count("views.steppedDown");
-  outbox.push(NoteState{"core: stepped down, " + std::string(why)});
+  outbox.push(LogState{"core: stepped down, " + std::string(reason)});
 }
 
-void Leadership::suspect(Outbox& outbox) {
-  if (suspect_) return;
-  suspect_ = true;
-  acceptor_.suspect();
+void Leadership::markDiskSuspect(Outbox& outbox) {
+  if (diskSuspect_) return;
+  diskSuspect_ = true;
+  acceptor_.markDiskSuspect();
   outbox.count("disk.suspect");
   stepDown(phaseSince_, outbox, "the disk is suspect");
-  membership_.leave(outbox);  // other cores take over its vote and its replica
+  membership_.announceLeaving(outbox);  // other cores take over its vote and its replica
 }
 
-bool Leadership::mayShow() const {
+bool Leadership::publishedIsDurable() const {
   // Changes that may be on this disk only aren't shown before all disks of a confirmed view have
   // them.
-  return !unconfirmed_ || isBootstrap(view_) || published_.sections() == shown_ ||
-         options_.faults.has(ControlFault::kTailShown);
+  return !unconfirmed_ || isBootstrap(view_) || published_.sections() == provenVersions_ ||
+         options_.faults.has(ControlFault::kUnconfirmedStateShown);
 }
 
-void Leadership::noteHeardOf(const View& view, MonotonicTime now, Outbox& outbox) {
-  if (idle()) noteAccepted(view, "another member reported a newer view", now, outbox);
+void Leadership::noteReportedView(const View& view, MonotonicTime now, Outbox& outbox) {
+  if (isIdle()) noteAccepted(view, "another member reported a newer view", now, outbox);
 }
 
-void Leadership::noteChosen(const View& view, MonotonicTime now, Outbox& outbox) {
-  bool final = view.epoch == chosen_.epoch && view.formerVoters.empty();
-  if (view.epoch > chosen_.epoch || final) chosen_ = view;
+void Leadership::noteSettledView(const View& view, MonotonicTime now, Outbox& outbox) {
+  bool isFinal = view.epoch == newestSettledView_.epoch && view.formerVoters.empty();
+  if (view.epoch > newestSettledView_.epoch || isFinal) newestSettledView_ = view;
   if (view.epoch == view_.epoch && !leading_) view_.formerVoters.clear();
-  bool told = acceptor_.writingSince() == kForever && acceptor_.nowSettled(view);
-  if (told) outbox.send(membership_.self().address, AcceptRequest{view, false});
+  bool newlySettledHere = acceptor_.writingSince() == kForever && acceptor_.isNewlySettled(view);
+  if (newlySettledHere) outbox.send(membership_.self().address, AcceptRequest{view, false});
   if (view.epoch <= view_.epoch || view.primary == self()) return;
   view_ = view;
   if (leading_) stepDown(now, outbox, "a newer view is settled");
 }
 
-void Leadership::sawNewer(const SectionVersions& seen) {
-  newerSeen_.setup = std::max(newerSeen_.setup, seen.setup);
-  newerSeen_.keys = std::max(newerSeen_.keys, seen.keys);
-  newerSeen_.weights = std::max(newerSeen_.weights, seen.weights);
+void Leadership::noteNewerVersions(const SectionVersions& seen) {
+  newerRouterVersions_.setup = std::max(newerRouterVersions_.setup, seen.setup);
+  newerRouterVersions_.keys = std::max(newerRouterVersions_.keys, seen.keys);
+  newerRouterVersions_.weights = std::max(newerRouterVersions_.weights, seen.weights);
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_acceptance.cc
+++ b/src/core/leadership_acceptance.cc
@@ -7,60 +7,60 @@
 namespace peppergate {
 
 void Leadership::propose(MonotonicTime now, Outbox& outbox) {
-  bool meet = majoritiesMeet(wanted_.voters, old_.voters) ||
-              options_.faults.has(ControlFault::kOneMajorityOfVoters);
-  if (!meet) {  // never proposed, for whatever reason it was wanted
+  bool majoritiesOverlap = majoritiesIntersect(nextView_.voters, previousView_.voters) ||
+                           options_.faults.has(ControlFault::kFormerMajoritySkipped);
+  if (!majoritiesOverlap) {  // never proposed, for whatever reason it was wanted
     outbox.count("views.unsafe");
     outbox.push(
-        NoteState{"core: a view whose majorities need not intersect those of its predecessor is "
-                  "not proposed"});
-    giveUpPhase(now, outbox);
+        LogState{"core: a view whose majorities need not intersect those of its predecessor is "
+                 "not proposed"});
+    abortPhase(now, outbox);
     return;
   }
   phase_ = LeaderPhase::kAccepting;
   phaseSince_ = now;
-  accepted_.clear();
-  if (leading_ && wanted_.voters != view_.voters) proposed_.push_back(wanted_.voters);
+  acceptedVoters_.clear();
+  if (leading_ && nextView_.voters != view_.voters) proposedVoterSets_.push_back(nextView_.voters);
   requestAcceptance(outbox);
 }
 
 void Leadership::requestAcceptance(Outbox& outbox) {
-  std::set<CoreId> asked = allVoters(old_);
-  asked.insert(wanted_.voters.begin(), wanted_.voters.end());
+  std::set<CoreId> asked = allVoters(previousView_);
+  asked.insert(nextView_.voters.begin(), nextView_.voters.end());
   for (CoreId voter : asked)
-    if (!accepted_.contains(voter))
-      outbox.send(membership_.addressOf(voter), AcceptRequest{wanted_, false});
+    if (!acceptedVoters_.contains(voter))
+      outbox.send(membership_.addressOf(voter), AcceptRequest{nextView_, false});
 }
 
 void Leadership::announceSettled(Outbox& outbox) {
-  for (CoreId voter : allVoters(wanted_))
+  for (CoreId voter : allVoters(nextView_))
     outbox.send(membership_.addressOf(voter), AcceptRequest{settledView(), false});
 }
 
-void Leadership::hear(const AcceptReply& answer, MonotonicTime now, Outbox& outbox) {
-  seen_ = std::max(seen_, answer.promised);
-  if (answer.epoch != wanted_.epoch || !answer.accepted) {
-    bool here = phase_ == LeaderPhase::kBootstrapping && answer.epoch == wanted_.epoch;
-    if (here && !bootstrapping_) {
-      outbox.push(NoteState{"core: bootstrap rejected; a voter already belongs to a fleet"});
-      bootstrap_.cores = 0;
+void Leadership::handle(const AcceptReply& reply, MonotonicTime now, Outbox& outbox) {
+  highestEpochSeen_ = std::max(highestEpochSeen_, reply.promised);
+  if (reply.epoch != nextView_.epoch || !reply.accepted) {
+    bool isBootstrapReply = phase_ == LeaderPhase::kBootstrapping && reply.epoch == nextView_.epoch;
+    if (isBootstrapReply && !bootstrapping_) {
+      outbox.push(LogState{"core: bootstrap rejected; a voter already belongs to a fleet"});
+      bootstrap_.expectedCores = 0;
       phase_ = LeaderPhase::kFollowing;
-    } else if (here) {
-      giveUpPhase(now, outbox);
+    } else if (isBootstrapReply) {
+      abortPhase(now, outbox);
     }
     return;
   }
   if (phase_ != LeaderPhase::kAccepting && phase_ != LeaderPhase::kBootstrapping) return;
-  accepted_.insert(answer.voter);
-  bool all =
-      std::ranges::all_of(wanted_.voters, [&](CoreId core) { return accepted_.contains(core); });
-  bool enough = bootstrapping_ ? accepted_.size() >= bootstrapQuorum()
-                : phase_ == LeaderPhase::kBootstrapping
-                    ? all
-                    : majority(accepted_, wanted_.voters) &&
-                          (quorum(accepted_, old_) ||
-                           options_.faults.has(ControlFault::kOneMajorityOfVoters));
-  if (enough) settled(now, outbox);
+  acceptedVoters_.insert(reply.voter);
+  bool acceptedByAll = std::ranges::all_of(
+      nextView_.voters, [&](CoreId core) { return acceptedVoters_.contains(core); });
+  bool quorumAccepted = bootstrapping_ ? acceptedVoters_.size() >= bootstrapQuorum()
+                        : phase_ == LeaderPhase::kBootstrapping
+                            ? acceptedByAll
+                            : isMajority(acceptedVoters_, nextView_.voters) &&
+                                  (isQuorum(acceptedVoters_, previousView_) ||
+                                   options_.faults.has(ControlFault::kFormerMajoritySkipped));
+  if (quorumAccepted) leadSettledView(now, outbox);
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_bootstrap.cc
+++ b/src/core/leadership_bootstrap.cc
@@ -6,12 +6,14 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFounderTurn = seconds(2);    // delay of each listed core after the one before
-constexpr Duration kMissedFounder = seconds(2);  // wait for listed cores that aren't known yet
+constexpr Duration kBootstrapperTurn =
+    seconds(2);  // delay of each listed core after the one before
+constexpr Duration kMissingBootstrapperWait =
+    seconds(2);  // wait for listed cores that aren't known yet
 
 }  // namespace
 
-void Leadership::found(const Bootstrap& bootstrap) {
+void Leadership::setBootstrap(const Bootstrap& bootstrap) {
   bootstrap_ = bootstrap;
   if (bootstrap_.voters.size() > 3) bootstrap_.voters.resize(3);
 }
@@ -20,7 +22,7 @@
   bool listed =
       std::ranges::find(bootstrap_.voters, membership_.self().address) != bootstrap_.voters.end();
   // A core that leads a bootstrap view, or may lead it, keeps it; all others may replace it.
-  return bootstrap_.first && listed && isBootstrap(view_) && view_.primary != self();
+  return bootstrap_.createsFleet && listed && isBootstrap(view_) && view_.primary != self();
 }
 
 void Leadership::bootstrapByCount(MonotonicTime now, Outbox& outbox) {
@@ -28,18 +30,18 @@
   for (const auto& record : membership_.liveCores()) cores.push_back(record.core);
   std::ranges::sort(cores);
   cores.erase(std::unique(cores.begin(), cores.end()), cores.end());
-  if (cores.size() != bootstrap_.cores) return;
-  wanted_ = View{{1}, self(), {}, {1}, cores};
-  accepted_.clear();
+  if (cores.size() != bootstrap_.expectedCores) return;
+  nextView_ = View{{1}, self(), {}, {1}, cores};
+  acceptedVoters_.clear();
   phase_ = LeaderPhase::kBootstrapping;
   phaseSince_ = now;
-  writeReplica({{1}, ControlState::founded({1}), now, {}, {}, true}, outbox);
+  writeReplica({{1}, ControlState::initial({1}), now, {}, {}, true}, outbox);
 }
 
 void Leadership::startBootstrapElection(MonotonicTime now, Outbox& outbox) {
-  if (born_ == kNever) born_ = now;
-  if (acceptor_.grantedToOther(self(), now)) {
-    freeSince_ = now;
+  if (bootstrapBegan_ == kNever) bootstrapBegan_ = now;
+  if (acceptor_.leasedToOther(self(), now)) {
+    votesFreeSince_ = now;
     return;
   }
   std::vector<CoreId> bootstrappers;
@@ -48,36 +50,37 @@
   if (bootstrappers.size() < bootstrapQuorum()) return;
   auto turn =
       std::ranges::find(bootstrap_.voters, membership_.self().address) - bootstrap_.voters.begin();
-  Duration wait = kFounderTurn * static_cast<double>(turn);
-  if (bootstrappers.size() < bootstrap_.voters.size()) wait = wait + kMissedFounder;
-  if (now - std::max(born_, freeSince_) < wait) return;
-  prepare(View{{}, self(), {}, {}, std::move(bootstrappers)}, now, outbox, true);
+  Duration wait = kBootstrapperTurn * static_cast<double>(turn);
+  if (bootstrappers.size() < bootstrap_.voters.size()) wait = wait + kMissingBootstrapperWait;
+  if (now - std::max(bootstrapBegan_, votesFreeSince_) < wait) return;
+  startPrepare(View{{}, self(), {}, {}, std::move(bootstrappers)}, now, outbox, true);
 }
 
-void Leadership::heardBootstrapper(const PrepareReply& answer, MonotonicTime now, Outbox& outbox) {
-  if (!isBootstrap(answer.accepted)) {  // the fleet exists already
-    yieldVotes(outbox);
+void Leadership::handleBootstrapPromise(const PrepareReply& reply, MonotonicTime now,
+                                        Outbox& outbox) {
+  if (!isBootstrap(reply.accepted)) {  // the fleet exists already
+    releaseVotes(outbox);
     return;
   }
-  promised_.insert(answer.voter);
-  if (promised_.size() == old_.voters.size()) bootstrapWithPromised(now, outbox);
+  promisedVoters_.insert(reply.voter);
+  if (promisedVoters_.size() == previousView_.voters.size()) bootstrapWithPromised(now, outbox);
 }
 
 void Leadership::bootstrapWithPromised(MonotonicTime now, Outbox& outbox) {
   // Any bootstrap view that a voter may have accepted has the same initial state.
-  wanted_.base = wanted_.epoch;
-  wanted_.voters.assign(promised_.begin(), promised_.end());
-  accepted_.clear();
+  nextView_.baseEpoch = nextView_.epoch;
+  nextView_.voters.assign(promisedVoters_.begin(), promisedVoters_.end());
+  acceptedVoters_.clear();
   ownSynced_ = false;
   phase_ = LeaderPhase::kBootstrapping;
   phaseSince_ = now;
-  writeReplica({wanted_.epoch, ControlState::founded({1}), now, {}, {}, true}, outbox);
+  writeReplica({nextView_.epoch, ControlState::initial({1}), now, {}, {}, true}, outbox);
 }
 
-void Leadership::prepareBootstrappers(Outbox& outbox) {
-  for (CoreId voter : wanted_.voters)
-    if (!accepted_.contains(voter))
-      outbox.send(membership_.addressOf(voter), AcceptRequest{wanted_, true});
+void Leadership::requestBootstrapAcceptance(Outbox& outbox) {
+  for (CoreId voter : nextView_.voters)
+    if (!acceptedVoters_.contains(voter))
+      outbox.send(membership_.addressOf(voter), AcceptRequest{nextView_, true});
 }
 
 }  // namespace peppergate
