--- a/src/core/leadership_election.cc
+++ b/src/core/leadership_election.cc
@@ -7,80 +7,83 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kTurn = milliseconds(200);        // between members that campaign in their order
-constexpr Duration kLatePromise = seconds(0.3);      // wait for more bootstrappers than a majority
-constexpr Duration kLeaverTurn = milliseconds(800);  // extra delay of a core that is shutting down
+constexpr Duration kCampaignTurn =
+    milliseconds(200);                               // between members that campaign in their order
+constexpr Duration kLatePromiseWait = seconds(0.3);  // wait for more bootstrappers than a majority
+constexpr Duration kLeavingCampaignDelay =
+    milliseconds(800);  // extra delay of a core that is shutting down
 
 }  // namespace
 
-void Leadership::giveUpHopelessElection(MonotonicTime now, Outbox& outbox) {
+void Leadership::abandonHopelessElection(MonotonicTime now, Outbox& outbox) {
   if (phase_ != LeaderPhase::kPreparing || leading_) return;
-  if (bootstrapping_ && promised_.size() >= bootstrapQuorum() && now - phaseSince_ > kLatePromise) {
+  if (bootstrapping_ && promisedVoters_.size() >= bootstrapQuorum() &&
+      now - phaseSince_ > kLatePromiseWait) {
     bootstrapWithPromised(now, outbox);
     return;
   }
   // A candidate that can't reach a majority soon releases its votes: a read-only leader on its side
   // of the partition may need them.
-  std::set<CoreId> answered = promised_;
-  answered.insert(declined_.begin(), declined_.end());
-  if (now - phaseSince_ <= seconds(0.7) || quorum(answered, old_)) return;
-  yieldVotes(outbox);
-  nextTry_ = now + milliseconds(1000 + static_cast<std::int64_t>(random_.below(600)));
+  std::set<CoreId> answered = promisedVoters_;
+  answered.insert(rejectedVoters_.begin(), rejectedVoters_.end());
+  if (now - phaseSince_ <= seconds(0.7) || isQuorum(answered, previousView_)) return;
+  releaseVotes(outbox);
+  nextAttempt_ = now + milliseconds(1000 + static_cast<std::int64_t>(random_.below(600)));
   outbox.count("views.hopeless");
 }
 
 void Leadership::sendRelease(const PrepareRequest& release, Outbox& outbox) {
-  std::set<CoreId> asked = allVoters(old_);
-  asked.merge(allVoters(wanted_));
+  std::set<CoreId> asked = allVoters(previousView_);
+  asked.merge(allVoters(nextView_));
   asked.merge(allVoters(view_));
   for (CoreId voter : asked)
     if (voter != self()) outbox.send(membership_.addressOf(voter), release);
 }
 
-void Leadership::yieldVotes(Outbox& outbox) {
+void Leadership::releaseVotes(Outbox& outbox) {
   // It has no lease, so all votes for it are free for other candidates at once.
-  releasing_ =
+  releaseToResend_ =
       PrepareRequest{std::max(view_.epoch, leaseEpoch_), self(), {}, PrepareKind::kRelease};
-  sendRelease(*releasing_, outbox);
+  sendRelease(*releaseToResend_, outbox);
   acceptor_.release(self());
   phase_ = LeaderPhase::kFollowing;
   bootstrapping_ = false;
   leaseUntil_ = kNever;
   leaseEpoch_ = {};
-  renewals_.clear();
+  renewalGrants_.clear();
 }
 
 void Leadership::yieldToRival(MonotonicTime now, Outbox& outbox) {
-  yieldVotes(outbox);
-  nextTry_ = now + milliseconds(100 + static_cast<std::int64_t>(random_.below(500)));
+  releaseVotes(outbox);
+  nextAttempt_ = now + milliseconds(100 + static_cast<std::int64_t>(random_.below(500)));
   outbox.count("views.yielded");
 }
 
 void Leadership::renewOrContest(MonotonicTime now, Outbox& outbox) {
-  bool prepares = phase_ == LeaderPhase::kPreparing && !bootstrapping_;
+  bool preparing = phase_ == LeaderPhase::kPreparing && !bootstrapping_;
   // Of two rivals that wait for each other's votes, the one with fewer yields; at a tie both do.
-  bool outvoted = !rivalVoters_.empty() && rivalVoters_.size() >= promised_.size();
-  if (prepares && !leading_ && outvoted) yieldToRival(now, outbox);
-  else if (prepares && recapture_) raiseEpoch(now, outbox);
-  else renew(now, outbox);
+  bool outvoted = !rivalVoters_.empty() && rivalVoters_.size() >= promisedVoters_.size();
+  if (preparing && !leading_ && outvoted) yieldToRival(now, outbox);
+  else if (preparing && needsHigherEpoch_) raiseEpoch(now, outbox);
+  else renewLease(now, outbox);
 }
 
-void Leadership::giveUpPhase(MonotonicTime now, Outbox& outbox) {
+void Leadership::abortPhase(MonotonicTime now, Outbox& outbox) {
   if (phase_ == LeaderPhase::kReplicating)
-    for (CoreId backup : wanted_.backups)
-      if (!synced_.contains(backup)) failedReplicas_[backup] = now;
+    for (CoreId backup : nextView_.backups)
+      if (!syncedBackups_.contains(backup)) failedBackups_[backup] = now;
   if (leading_) {
     phase_ = LeaderPhase::kLeading;
-    nextTry_ = now + milliseconds(static_cast<std::int64_t>(random_.below(300)));
+    nextAttempt_ = now + milliseconds(static_cast<std::int64_t>(random_.below(300)));
     return;
   }
   // Two candidates that each have their own vote block each other. Each releases all votes and
   // retries after a random delay, so that one of them finds the votes free.
-  yieldVotes(outbox);
-  nextTry_ = now + milliseconds(static_cast<std::int64_t>(random_.below(1500)));
+  releaseVotes(outbox);
+  nextAttempt_ = now + milliseconds(static_cast<std::int64_t>(random_.below(1500)));
 }
 
-std::size_t Leadership::succession() const {
+std::size_t Leadership::successionRank() const {
   // The first backup and the former leader campaign first; the others wait for their turn.
   auto found = std::ranges::find(view_.backups, self());
   if (found != view_.backups.end()) return static_cast<std::size_t>(found - view_.backups.begin());
@@ -88,20 +91,22 @@
 }
 
 bool Leadership::campaignDue(MonotonicTime now) {
-  if (!started_) {  // after a common power loss not all campaign at the same time
-    started_ = true;
-    bool untouched = acceptor_.record().promised.value == 0 && view_.epoch.value == 0;
-    Duration turn = kTurn * static_cast<double>(succession() + (view_.primary == self() ? 0 : 1));
-    if (!untouched)
-      nextTry_ =
+  if (!startDelayApplied_) {  // after a common power loss not all campaign at the same time
+    startDelayApplied_ = true;
+    bool hasNoView = acceptor_.record().promised.value == 0 && view_.epoch.value == 0;
+    Duration turn =
+        kCampaignTurn * static_cast<double>(successionRank() + (view_.primary == self() ? 0 : 1));
+    if (!hasNoView)
+      nextAttempt_ =
           now + options_.lease + turn + milliseconds(static_cast<std::int64_t>(random_.below(100)));
   }
-  return now >= nextTry_ && mayCampaign_ && !graceIsOver(now);
+  return now >= nextAttempt_ && mayCampaign_ && !graceTimeIsOver(now);
 }
 
-void Leadership::campaign(MonotonicTime now, Outbox& outbox) {
+void Leadership::campaignIfDue(MonotonicTime now, Outbox& outbox) {
   if (!campaignDue(now)) return;
-  if (bootstrap_.cores > 0 && view_.epoch.value == 0 && acceptor_.record().promised.value == 0) {
+  if (bootstrap_.expectedCores > 0 && view_.epoch.value == 0 &&
+      acceptor_.record().promised.value == 0) {
     bootstrapByCount(now, outbox);
     return;
   }
@@ -111,32 +116,33 @@
   }
   bool eligible =
       replica_.tag.value != 0 &&
-      ((isMember(view_, self()) && replica_.tag >= view_.base) || replica_.tag > view_.epoch);
+      ((isMember(view_, self()) && replica_.tag >= view_.baseEpoch) || replica_.tag > view_.epoch);
   if (!eligible && !(replica_.tag.value != 0 && ignoresReplicaTag())) return;
-  if (acceptor_.grantedToOther(self(), now)) {
-    freeSince_ = now;
+  if (acceptor_.leasedToOther(self(), now)) {
+    votesFreeSince_ = now;
     return;
   }
-  Duration turn =
-      kTurn * static_cast<double>(succession()) + (leaving() ? kLeaverTurn : Duration{});
-  if (now - freeSince_ < turn) return;
+  Duration turn = kCampaignTurn * static_cast<double>(successionRank()) +
+                  (leaving() ? kLeavingCampaignDelay : Duration{});
+  if (now - votesFreeSince_ < turn) return;
   // Without a reachable majority a campaign would only raise epochs and bind votes.
-  std::set<CoreId> seen;
+  std::set<CoreId> reachable;
   for (CoreId voter : allVoters(view_))
-    if (!membership_.addressOf(voter).value.empty()) seen.insert(voter);
-  if (!quorum(seen, view_)) {
-    nextTry_ = now + milliseconds(static_cast<std::int64_t>(random_.below(600)));
+    if (!membership_.addressOf(voter).value.empty()) reachable.insert(voter);
+  if (!isQuorum(reachable, view_)) {
+    nextAttempt_ = now + milliseconds(static_cast<std::int64_t>(random_.below(600)));
     return;
   }
   View wanted = view_;
   wanted.primary = self();
-  takingOver_ = true;
-  prepare(std::move(wanted), now, outbox);
+  campaigning_ = true;
+  startPrepare(std::move(wanted), now, outbox);
 }
 
-void Leadership::released(CoreId candidate, MonotonicTime now) {
+void Leadership::handleRelease(CoreId candidate, MonotonicTime now) {
   if (candidate != view_.primary || phase_ != LeaderPhase::kFollowing) return;
-  nextTry_ = std::min(nextTry_, now + kTurn * static_cast<double>(succession()));
+  nextAttempt_ =
+      std::min(nextAttempt_, now + kCampaignTurn * static_cast<double>(successionRank()));
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_leaving.cc
+++ b/src/core/leadership_leaving.cc
@@ -7,50 +7,52 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFinishWithin = seconds(1.5);  // for changes under way when the shutdown begins
-constexpr Duration kGraceMargin = seconds(1);     // before the process would be killed
+constexpr Duration kFinishChangesWithin =
+    seconds(1.5);                              // for changes under way when the shutdown begins
+constexpr Duration kGraceMargin = seconds(1);  // before the process would be killed
 
 }  // namespace
 
-void Leadership::leave(MonotonicTime now) {
+void Leadership::beginLeaving(MonotonicTime now) {
   if (!leaving()) leavingSince_ = now;
 }
 
-bool Leadership::graceIsOver(MonotonicTime now) const {
+bool Leadership::graceTimeIsOver(MonotonicTime now) const {
   if (!leaving()) return false;
   return now - leavingSince_ >
          std::max(options_.graceTime - kGraceMargin, options_.graceTime * 0.5);
 }
 
-bool Leadership::hasDutyIn(const View& view) const {
-  return isMember(view, self()) || votesIn(view, self());
+bool Leadership::hasVoteOrReplicaIn(const View& view) const {
+  return isMember(view, self()) || isVoterIn(view, self());
 }
 
-bool Leadership::anyoneStays() const {
+bool Leadership::anyOtherCoreStays() const {
   return std::ranges::any_of(membership_.liveCores(), [&](const MemberRecord& record) {
     return record.core != self() && !record.leaving;
   });
 }
 
-bool Leadership::gone(MonotonicTime now) const {
-  if (!leaving() || leading_ || releasing_) return false;
-  if (options_.faults.has(ControlFault::kLeaverEndsEarly)) return true;
+bool Leadership::mayExit(MonotonicTime now) const {
+  if (!leaving() || leading_ || releaseToResend_) return false;
+  if (options_.faults.has(ControlFault::kLeaveWithoutHandover)) return true;
   // If the whole fleet shuts down, no core can take over; the disks keep the state.
-  if (suspect_ || graceIsOver(now) || !anyoneStays()) return true;
+  if (diskSuspect_ || graceTimeIsOver(now) || !anyOtherCoreStays()) return true;
   // A view that this core accepted may never be settled, so the newest settled one counts, too.
-  return !hasDuty();
+  return !hasVoteOrReplica();
 }
 
-void Leadership::yieldWhenLeaving(MonotonicTime now, Outbox& outbox) {
+void Leadership::stepDownWhenLeaving(MonotonicTime now, Outbox& outbox) {
   if (!leaving() || !leading_) return;
-  bool idle = !batchState_ && pendingAcknowledgements_.empty() && waiting_.empty() &&
+  bool idle = !batchState_ && pendingAcknowledgements_.empty() && queuedChanges_.empty() &&
               phase_ == LeaderPhase::kLeading;
   bool handedOver = idle && !unconfirmed_;
   // A core that became leader during its shutdown may be the only one with the state: it leads
   // until others have it.
-  bool tookOver = ledSince_ > leavingSince_;
-  bool late = tookOver ? graceIsOver(now) : now - leavingSince_ > kFinishWithin;
-  if (handedOver || late) stepDown(now, outbox, "this core is shutting down");
+  bool becameLeaderWhileLeaving = ledSince_ > leavingSince_;
+  bool timeIsUp =
+      becameLeaderWhileLeaving ? graceTimeIsOver(now) : now - leavingSince_ > kFinishChangesWithin;
+  if (handedOver || timeIsUp) stepDown(now, outbox, "this core is shutting down");
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_reconfiguration.cc
+++ b/src/core/leadership_reconfiguration.cc
@@ -7,39 +7,39 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFresh = seconds(0.75);       // heard from within two lease renewals
-constexpr Duration kNewcomerKnown = seconds(1);  // time as a member before a newcomer may vote
-constexpr Duration kForget = seconds(60);
+constexpr Duration kRecentlyHeard = seconds(0.75);  // heard from within two lease renewals
+constexpr Duration kNewcomerMinAge = seconds(1);    // time as a member before a newcomer may vote
+constexpr Duration kForgetPeerAfter = seconds(60);
 
 }  // namespace
 
-void Leadership::observePeers(MonotonicTime now) {
-  for (auto& [core, sight] : peers_) sight.known = false;
+void Leadership::updatePeers(MonotonicTime now) {
+  for (auto& [core, peer] : peers_) peer.known = false;
   for (const auto& record : membership_.liveCores()) {
-    PeerObservation& sight =
+    PeerObservation& peer =
         peers_.try_emplace(record.core, PeerObservation{now, kNever, {}, {}, false, false})
             .first->second;
     MonotonicTime last =
         now - (record.core == self() ? Duration{} : membership_.silence(record.member, now));
-    if (sight.known && last < sight.last) continue;  // an earlier process of the same core
-    sight.known = true;
-    sight.last = std::max(sight.last, last);
-    sight.address = record.address;
-    sight.zone = record.zone;
-    sight.leaving = record.leaving;
+    if (peer.known && last < peer.last) continue;  // an earlier process of the same core
+    peer.known = true;
+    peer.last = std::max(peer.last, last);
+    peer.address = record.address;
+    peer.zone = record.zone;
+    peer.leaving = record.leaving;
   }
-  for (CoreId seat : view_.voters)
-    peers_.try_emplace(seat, PeerObservation{now, now, {}, {}, false, false});
+  for (CoreId voter : view_.voters)
+    peers_.try_emplace(voter, PeerObservation{now, now, {}, {}, false, false});
   std::erase_if(peers_, [&](const auto& entry) {
-    return !entry.second.known && now - entry.second.last > kForget &&
+    return !entry.second.known && now - entry.second.last > kForgetPeerAfter &&
            std::ranges::find(view_.voters, entry.first) == view_.voters.end();
   });
 }
 
-Duration Leadership::silent(CoreId core, MonotonicTime now) const {
+Duration Leadership::silenceOf(CoreId core, MonotonicTime now) const {
   if (core == self()) return {};
-  auto sight = peers_.find(core);
-  return sight == peers_.end() ? Duration{} : now - sight->second.last;
+  auto peer = peers_.find(core);
+  return peer == peers_.end() ? Duration{} : now - peer->second.last;
 }
 
 std::vector<CoreId> Leadership::wantedBackups(MonotonicTime now) const {
@@ -48,16 +48,16 @@
     CoreId core;
   };
   std::vector<Scored> candidates;
-  for (const auto& [core, sight] : peers_) {
-    if (!sight.known || core == self() || sight.leaving) continue;
-    bool failed = failedReplicas_.contains(core);
-    bool serves = std::ranges::find(view_.backups, core) != view_.backups.end();
+  for (const auto& [core, peer] : peers_) {
+    if (!peer.known || core == self() || peer.leaving) continue;
+    bool failed = failedBackups_.contains(core);
+    bool isBackup = std::ranges::find(view_.backups, core) != view_.backups.end();
     int score = failed ? 0 : 8;
-    if (now - sight.last < seconds(1)) score += 16;
+    if (now - peer.last < seconds(1)) score += 16;
     if (std::ranges::find(view_.voters, core) != view_.voters.end()) score += 4;
-    if (serves) score += 2;
-    if (sight.zone != membership_.self().zone) score += 1;
-    if (serves && !unconfirmed_ && !failed && now - sight.last < options_.replaceVoterAfter)
+    if (isBackup) score += 2;
+    if (peer.zone != membership_.self().zone) score += 1;
+    if (isBackup && !unconfirmed_ && !failed && now - peer.last < options_.replaceVoterAfter)
       score += 32;
     candidates.push_back({score, core});
   }
@@ -69,25 +69,25 @@
   return backups;
 }
 
-std::vector<Leadership::Newcomer> Leadership::newcomers(MonotonicTime now) const {
+std::vector<Leadership::Newcomer> Leadership::findNewcomers(MonotonicTime now) const {
   std::vector<Newcomer> found;
-  for (const auto& [core, sight] : peers_) {
-    bool votes = std::ranges::find(view_.voters, core) != view_.voters.end();
-    if (sight.known && !sight.leaving && !votes && now - sight.last < seconds(1))
-      found.push_back({core, sight.first, sight.address});
+  for (const auto& [core, peer] : peers_) {
+    bool isVoter = std::ranges::find(view_.voters, core) != view_.voters.end();
+    if (peer.known && !peer.leaving && !isVoter && now - peer.last < seconds(1))
+      found.push_back({core, peer.first, peer.address});
   }
   return found;
 }
 
 CoreId Leadership::supersededVoter(MonotonicTime now) const {
   for (CoreId voter : view_.voters) {
-    const PeerObservation& seen = peers_.at(voter);
+    const PeerObservation& peer = peers_.at(voter);
     bool superseded = std::ranges::any_of(peers_, [&](const auto& entry) {
-      const auto& [core, other] = entry;
-      return core != voter && other.known && !other.address.value.empty() &&
-             other.address == seen.address && other.first > seen.first;
+      const auto& [core, otherPeer] = entry;
+      return core != voter && otherPeer.known && !otherPeer.address.value.empty() &&
+             otherPeer.address == peer.address && otherPeer.first > peer.first;
     });
-    if (superseded && silent(voter, now) > kFresh) return voter;
+    if (superseded && silenceOf(voter, now) > kRecentlyHeard) return voter;
   }
   return {};
 }
@@ -100,56 +100,58 @@
 
 CoreId Leadership::longestSilentVoter(MonotonicTime now) const {
   return *std::ranges::max_element(view_.voters, {},
-                                   [&](CoreId core) { return silent(core, now); });
+                                   [&](CoreId core) { return silenceOf(core, now); });
 }
 
-bool Leadership::bearsTooFewLosses(MonotonicTime now) const {
-  auto inSight = std::ranges::count_if(
-      view_.voters, [&](CoreId core) { return silent(core, now) <= options_.replaceVoterAfter; });
-  return static_cast<std::size_t>(inSight) <
-         majorityOf(view_.voters.size()) + static_cast<std::size_t>(options_.backups);
+bool Leadership::toleratesTooFewLosses(MonotonicTime now) const {
+  auto reachable = std::ranges::count_if(view_.voters, [&](CoreId core) {
+    return silenceOf(core, now) <= options_.replaceVoterAfter;
+  });
+  return static_cast<std::size_t>(reachable) <
+         majoritySize(view_.voters.size()) + static_cast<std::size_t>(options_.backups);
 }
 
-std::vector<CoreId> Leadership::makeRoomFrom(CoreId voter, CoreId newcomer) const {
+std::vector<CoreId> Leadership::replaceVoterByOneStep(CoreId voter, CoreId newcomer) const {
   std::vector<CoreId> voters = view_.voters;
-  bool comes = newcomer.value != 0;
+  bool hasNewcomer = newcomer.value != 0;
   bool even = voters.size() % 2 == 0;
   // A voter of an odd set can't be replaced in one step: the majorities need not intersect.
-  bool atOnce = even || options_.faults.has(ControlFault::kOneMajorityOfVoters);
-  if (comes && atOnce) std::ranges::replace(voters, voter, newcomer);
-  else if (voters.size() > leastVoters()) std::erase(voters, voter);
-  else if (comes) voters.push_back(newcomer);
+  bool inOneStep = even || options_.faults.has(ControlFault::kFormerMajoritySkipped);
+  if (hasNewcomer && inOneStep) std::ranges::replace(voters, voter, newcomer);
+  else if (voters.size() > minVoters()) std::erase(voters, voter);
+  else if (hasNewcomer) voters.push_back(newcomer);
   return voters;
 }
 
 std::vector<CoreId> Leadership::wantedVoters(MonotonicTime now) const {
   // A proposal may be settled unknown to this core: until one is known to be, only the same voters
   // are proposed again, since the quorums of two different changes of one view may not intersect.
-  if (!proposed_.empty()) return proposed_.back();
+  if (!proposedVoterSets_.empty()) return proposedVoterSets_.back();
   if (view_.voters.empty()) return {};
-  const std::vector<Newcomer> coming = newcomers(now);
-  const CoreId first = coming.empty() ? CoreId{} : coming.front().core;
+  const std::vector<Newcomer> newcomers = findNewcomers(now);
+  const CoreId first = newcomers.empty() ? CoreId{} : newcomers.front().core;
   // A voter whose machine came back with a new disk is removed first.
   if (CoreId voter = supersededVoter(now); voter.value != 0) {
-    auto back = std::ranges::find(coming, peers_.at(voter).address, &Newcomer::address);
-    return makeRoomFrom(voter, back == coming.end() ? first : back->core);
+    auto replacement = std::ranges::find(newcomers, peers_.at(voter).address, &Newcomer::address);
+    return replaceVoterByOneStep(voter, replacement == newcomers.end() ? first : replacement->core);
   }
   if (CoreId voter = leavingVoter(); voter.value != 0) {
-    std::vector<CoreId> voters = makeRoomFrom(voter, first);
+    std::vector<CoreId> voters = replaceVoterByOneStep(voter, first);
     if (voters != view_.voters) return voters;
   }
-  const CoreId longest = longestSilentVoter(now);
-  if (silent(longest, now) > options_.replaceVoterAfter) {
-    bool room = first.value != 0 || bearsTooFewLosses(now);
-    return room ? makeRoomFrom(longest, first) : view_.voters;
+  const CoreId longestSilent = longestSilentVoter(now);
+  if (silenceOf(longestSilent, now) > options_.replaceVoterAfter) {
+    bool removable = first.value != 0 || toleratesTooFewLosses(now);
+    return removable ? replaceVoterByOneStep(longestSilent, first) : view_.voters;
   }
   // A slot is added only while all voters respond: the newcomer may be needed as a replacement.
   std::vector<CoreId> voters = view_.voters;
   if (voters.size() >= static_cast<std::size_t>(options_.voterSlots)) return voters;
-  if (silent(longest, now) > kFresh) return voters;
-  auto known = std::ranges::find_if(
-      coming, [&](const Newcomer& newcomer) { return now - newcomer.first >= kNewcomerKnown; });
-  if (known != coming.end()) voters.push_back(known->core);
+  if (silenceOf(longestSilent, now) > kRecentlyHeard) return voters;
+  auto knownNewcomer = std::ranges::find_if(newcomers, [&](const Newcomer& newcomer) {
+    return now - newcomer.firstSeen >= kNewcomerMinAge;
+  });
+  if (knownNewcomer != newcomers.end()) voters.push_back(knownNewcomer->core);
   return voters;
 }
 
@@ -163,27 +165,26 @@
   return wanted;
 }
 
-bool Leadership::changeDue(const View& wanted, MonotonicTime now) const {
+bool Leadership::viewChangeDue(const View& wanted, MonotonicTime now) const {
   // With fewer machines than replicas are required nothing is acknowledged in any view.
   if (wanted.backups.size() < static_cast<std::size_t>(options_.backups)) return false;
   bool same = wanted.backups == view_.backups && wanted.voters == view_.voters;
-  return !same || unconfirmed_ || stuck(now) || recapture_;
+  return !same || unconfirmed_ || isBatchStuck(now) || needsHigherEpoch_;
 }
 
 void Leadership::considerViewChange(MonotonicTime now, Outbox& outbox) {
-  yieldsBatch_ = false;
+  pausesBatches_ = false;
   // A core that is shutting down changes the view only until others have the state.
-  if (now < nextTry_ || !leads(now) || (leaving() && !unconfirmed_)) return;
-  std::erase_if(failedReplicas_,
-                [&](const auto& entry) { return now - entry.second > seconds(5); });
+  if (now < nextAttempt_ || !hasLeaderLease(now) || (leaving() && !unconfirmed_)) return;
+  std::erase_if(failedBackups_, [&](const auto& entry) { return now - entry.second > seconds(5); });
   View wanted = wantedView(now);
-  if (!changeDue(wanted, now)) return;
-  yieldsBatch_ = (batchState_ && !stuck(now)) || !writes_.empty();
-  if (yieldsBatch_) return;  // changes the view after this batch, before the next one
-  nextTry_ = now + milliseconds(200);
+  if (!viewChangeDue(wanted, now)) return;
+  pausesBatches_ = (batchState_ && !isBatchStuck(now)) || !writes_.empty();
+  if (pausesBatches_) return;  // changes the view after this batch, before the next one
+  nextAttempt_ = now + milliseconds(200);
   unconfirmed_ = true;  // nothing is acknowledged from now on until a newer view is settled
-  takingOver_ = false;
-  prepare(std::move(wanted), now, outbox);
+  campaigning_ = false;
+  startPrepare(std::move(wanted), now, outbox);
 }
 
 }  // namespace peppergate
--- a/src/core/leadership_witnesses.cc
+++ b/src/core/leadership_witnesses.cc
@@ -4,14 +4,14 @@
 namespace peppergate {
 
 const ControlState* Leadership::intactReplica(const View& view) const {
-  bool intact =
-      isMember(view, self()) && replica_.tag.value != 0 && replica_.tag >= view.base && !suspect_;
+  bool intact = isMember(view, self()) && replica_.tag.value != 0 &&
+                replica_.tag >= view.baseEpoch && !diskSuspect_;
   return intact ? &replica_.state : nullptr;
 }
 
-bool Leadership::witnessed(const ControlState& state) const {
+bool Leadership::isWitnessed(const ControlState& state) const {
   return witnessedState_ && witnessedState_->version() == state.version() &&
-         majority(witnesses_, view_.voters);
+         isMajority(witnesses_, view_.voters);
 }
 
 void Leadership::requestWitnesses(const ControlState& state, Outbox& outbox) {
@@ -19,41 +19,42 @@
   witnesses_ = {self()};
   if (!unconfirmed_ && allSynced(view_))
     witnesses_.insert(view_.backups.begin(), view_.backups.end());
-  updateWitnesses(false, outbox);
+  sendWitnessUpdates(false, outbox);
 }
 
-void Leadership::updateWitnesses(bool whole, Outbox& outbox) {
-  WitnessUpdateRequest ask;
-  ask.epoch = view_.epoch;
-  ask.version = witnessedState_->version();
-  ask.now = witnessedState_->sections();
+void Leadership::sendWitnessUpdates(bool allSections, Outbox& outbox) {
+  WitnessUpdateRequest request;
+  request.epoch = view_.epoch;
+  request.version = witnessedState_->version();
+  request.now = witnessedState_->sections();
   // A majority of the voters has the state published before; a voter that lacks it says so.
-  SectionVersions before = whole ? SectionVersions{} : published_.sections();
-  if (ask.now.setup > before.setup) ask.setup = witnessedState_->setupText();
-  if (ask.now.keys > before.keys) ask.keys = witnessedState_->keysText();
-  if (ask.now.weights > before.weights) ask.weights = witnessedState_->weightsText();
+  SectionVersions previousVersions = allSections ? SectionVersions{} : published_.sections();
+  if (request.now.setup > previousVersions.setup) request.setup = witnessedState_->setupText();
+  if (request.now.keys > previousVersions.keys) request.keys = witnessedState_->keysText();
+  if (request.now.weights > previousVersions.weights)
+    request.weights = witnessedState_->weightsText();
   for (CoreId voter : view_.voters)
     if (voter != self() && !witnesses_.contains(voter))
-      outbox.send(membership_.addressOf(voter), ask);
+      outbox.send(membership_.addressOf(voter), request);
   outbox.count("holders.asked");
 }
 
-void Leadership::nameIfWitnessed(MonotonicTime now, Outbox& outbox) {
-  if (named_ || !witnessed(published_)) return;
-  named_ = true;
+void Leadership::showIfWitnessed(MonotonicTime now, Outbox& outbox) {
+  if (publishedIsWitnessed_ || !isWitnessed(published_)) return;
+  publishedIsWitnessed_ = true;
   publishedAt_ = now;  // a repeated change waits for the routers as the first one did
   outbox.count("holders.named");
 }
 
-void Leadership::hear(const WitnessUpdateReply& answer, MonotonicTime now, Outbox& outbox) {
-  if (!leading_ || !witnessedState_ || answer.version != witnessedState_->version()) return;
+void Leadership::handle(const WitnessUpdateReply& reply, MonotonicTime now, Outbox& outbox) {
+  if (!leading_ || !witnessedState_ || reply.version != witnessedState_->version()) return;
   const SectionVersions wanted = witnessedState_->sections();
-  bool whole = answer.have.setup >= wanted.setup && answer.have.keys >= wanted.keys &&
-               answer.have.weights >= wanted.weights;
-  if (!whole) return;  // it gets all sections with the next renewal
-  witnesses_.insert(answer.voter);
-  if (!majority(witnesses_, view_.voters)) return;
-  nameIfWitnessed(now, outbox);
+  bool hasAllSections = reply.have.setup >= wanted.setup && reply.have.keys >= wanted.keys &&
+                        reply.have.weights >= wanted.weights;
+  if (!hasAllSections) return;  // it gets all sections with the next renewal
+  witnesses_.insert(reply.voter);
+  if (!isMajority(witnesses_, view_.voters)) return;
+  showIfWitnessed(now, outbox);
   if (batchState_ && witnessedState_->version() == batchState_->version()) finishBatch(now, outbox);
 }
 
--- a/src/core/link_notes.h
+++ b/src/core/link_notes.h
@@ -16,40 +16,40 @@
 namespace peppergate {
 
 /// Streams of one kind over one path; links and class by their numbers in the table.
-struct MixNumbers {
-  static constexpr std::size_t kMostLinks = 4;  // a source, an engine and their racks
-  std::array<std::uint32_t, kMostLinks> links{};
+struct StreamKind {
+  static constexpr std::size_t kMaxLinks = 4;  // a source, an engine and their racks
+  std::array<std::uint32_t, kMaxLinks> links{};
   std::uint32_t linkCount = 0, className = 0;
   std::int64_t floorRung = 0, topRung = 0;
-  bool operator==(const MixNumbers&) const = default;
+  bool operator==(const StreamKind&) const = default;
   std::span<const std::uint32_t> path() const { return {links.data(), linkCount}; }
 };
 
 /// The sums of all routers' notifications for one link.
 struct LinkTotal {
-  double fractions = 0;     // usable fractions, summed over the routers that report one
-  std::int64_t notes = 0;   // routers that report one
-  double cut = 0;           // the largest that a router reports
-  double othersRate = 0;    // megabytes per second, without this router's own
-  double othersDemand = 0;  // the same if all streams were at their top rungs
-  double meanFraction(double otherwise) const {
-    return notes > 0 ? fractions / static_cast<double>(notes) : otherwise;
+  double fractionSum = 0;          // usable fractions, summed over the routers that report one
+  std::int64_t fractionCount = 0;  // routers that report one
+  double cut = 0;                  // the largest that a router reports
+  double othersRate = 0;           // megabytes per second, without this router's own
+  double othersDemand = 0;         // the same if all streams were at their top rungs
+  double meanFraction(double defaultFraction) const {
+    return fractionCount > 0 ? fractionSum / static_cast<double>(fractionCount) : defaultFraction;
   }
 };
 
 /// A kind of stream with its count, summed over all routers.
-struct NotedMix {
-  MixNumbers numbers;
+struct StreamKindCount {
+  StreamKind kind;
   double count = 0;
 };
 
 /// The newest usage notification of each router, with sums over them. Not thread-safe.
-class LinkNotes {
+class LinkUsageTable {
  public:
   /// Sets this router's own member; its notification is left out of the sums over other routers.
   void setSelf(MemberId self) { self_ = self; }
   /// Replaces a router's notification. Ignores stream kinds whose path is empty or too long.
-  void hear(const UsageNotification& note, MonotonicTime now);
+  void record(const LinkUsageNotification& notification, MonotonicTime now);
   /// Removes notifications that are long out of date.
   void expire(MonotonicTime now);
   /// The totals of a link; null if no router has named it.
@@ -57,9 +57,9 @@
   /// The totals of a link by its number, which must be below the number of links.
   const LinkTotal& total(std::uint32_t link, MonotonicTime now) const;
   /// All kinds of streams with their summed counts; equal notifications give an equal order.
-  std::vector<NotedMix> mixes(MonotonicTime now) const;
+  std::vector<StreamKindCount> streamCounts(MonotonicTime now) const;
   /// Looks a kind of stream up; nothing if its links or class were never reported.
-  std::optional<MixNumbers> find(const std::vector<LinkId>& path, std::string_view className,
+  std::optional<StreamKind> find(const std::vector<LinkId>& path, std::string_view className,
                                  std::int64_t floorRung, std::int64_t topRung) const;
   std::size_t linkCount() const { return links_.names.size(); }
   const std::string& linkName(std::uint32_t number) const { return links_.names[number]; }
@@ -67,7 +67,7 @@
 
  private:
   /// Assigns consecutive numbers to names, in the order of their first use.
-  struct Names {
+  struct NameTable {
     std::unordered_map<std::string, std::uint32_t> numbers;
     std::vector<std::string> names;
     std::uint32_t numberOf(const std::string& name);
@@ -77,18 +77,18 @@
     std::uint32_t link = 0;
     double rate = 0, demand = 0, fraction = 0, cut = 0;
   };
-  struct Note {
+  struct Report {
     MonotonicTime heard;
     std::vector<Usage> links;
-    std::vector<NotedMix> mixes;
+    std::vector<StreamKindCount> streamCounts;
   };
-  bool counts(const Note& note, MonotonicTime now) const;
+  bool isCurrent(const Report& report, MonotonicTime now) const;
   void refreshTotals(MonotonicTime now) const;
-  void renumber();
+  void clear();
 
   MemberId self_;
-  std::map<MemberId, Note> notes_;
-  Names links_, classes_;
+  std::map<MemberId, Report> reports_;
+  NameTable links_, classes_;
   // Cache of the totals, rebuilt on access after a change or for another time.
   mutable std::vector<LinkTotal> totals_;
   mutable MonotonicTime totalsAt_ = kNever;
--- a/src/core/message_fields.h
+++ b/src/core/message_fields.h
@@ -8,6 +8,6 @@
   }
 #define PEPPERGATE_FIELD(name) visitor(#name, self.name);
 
-/// A field whose name in frames and schemas differs from its member's, so that the member can have a
-/// clearer name while peers and stored files keep the old one.
+/// A field whose name in frames and schemas differs from its member's, so that the member can have
+/// a clearer name while peers and stored files keep the old one.
 #define PEPPERGATE_FIELD_AS(name, outer) visitor(outer, self.name);
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -13,15 +13,16 @@
 struct MemberRecord {
   MemberId member;
   Address address;
-  Address pages;  // of its HTTP status and operator pages
-  Role role = Role::kFront;
+  Address pagesAddress;  // of its HTTP status and operator pages
+  Role role = Role::kRouter;
   Zone zone;
   CoreId core;
   std::uint64_t heartbeat = 0;
   bool leaving = false;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(member) PEPPERGATE_FIELD(address) PEPPERGATE_FIELD(pages)
-                        PEPPERGATE_FIELD(role) PEPPERGATE_FIELD(zone) PEPPERGATE_FIELD(core)
-                            PEPPERGATE_FIELD(heartbeat) PEPPERGATE_FIELD(leaving))
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(member) PEPPERGATE_FIELD(address)
+                        PEPPERGATE_FIELD_AS(pagesAddress, "pages") PEPPERGATE_FIELD(role)
+                            PEPPERGATE_FIELD(zone) PEPPERGATE_FIELD(core)
+                                PEPPERGATE_FIELD(heartbeat) PEPPERGATE_FIELD(leaving))
 };
 
 /// A configuration of the control side: the primary, its backups and the voters. Epoch 0 means that
@@ -31,14 +32,14 @@
   Epoch epoch;
   CoreId primary;
   std::vector<CoreId> backups;  // in order of succession
-  Epoch base;  // replicas written for this epoch or later hold every acknowledged change
+  Epoch baseEpoch;  // replicas written for this epoch or later hold every acknowledged change
   std::vector<CoreId> voters;
   /// The voters of the preceding view, if they differ. Until this view is known to be settled, a
   /// majority of them is required as well; empty afterwards.
   std::vector<CoreId> formerVoters = {};
   bool operator==(const View&) const = default;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD(primary) PEPPERGATE_FIELD(backups)
-                        PEPPERGATE_FIELD(base) PEPPERGATE_FIELD(voters)
+                        PEPPERGATE_FIELD_AS(baseEpoch, "base") PEPPERGATE_FIELD(voters)
                             PEPPERGATE_FIELD(formerVoters))
 };
 
@@ -96,21 +97,21 @@
 
 struct ReplicateRequest {  // the whole state, for a joining replica or for each new version
   Epoch epoch;
-  CoreId from;
+  CoreId sender;
   SectionVersion version;
   bool joining = false;
   std::string state;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD(from) PEPPERGATE_FIELD(version)
-                        PEPPERGATE_FIELD(joining) PEPPERGATE_FIELD(state))
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD_AS(sender, "from")
+                        PEPPERGATE_FIELD(version) PEPPERGATE_FIELD(joining) PEPPERGATE_FIELD(state))
 };
 
 struct ReplicateReply {
   Epoch epoch;
-  CoreId from;
+  CoreId sender;
   SectionVersion version;
   bool synced = false;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD(from) PEPPERGATE_FIELD(version)
-                        PEPPERGATE_FIELD(synced))
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(epoch) PEPPERGATE_FIELD_AS(sender, "from")
+                        PEPPERGATE_FIELD(version) PEPPERGATE_FIELD(synced))
 };
 
 /// The versions of the three sections of the control state that a daemon has.
@@ -121,12 +122,12 @@
 };
 
 struct StateRequest {
-  MemberId asker;
+  MemberId requester;
   MonotonicTime sentAt;
   SectionVersions have;
   bool relayed = false;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(asker) PEPPERGATE_FIELD(sentAt) PEPPERGATE_FIELD(have)
-                        PEPPERGATE_FIELD(relayed))
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD_AS(requester, "asker") PEPPERGATE_FIELD(sentAt)
+                        PEPPERGATE_FIELD(have) PEPPERGATE_FIELD(relayed))
 };
 
 /// The `sentAt` of an unsolicited StateReply. Its content may be installed, but it proves no
@@ -137,15 +138,17 @@
   MonotonicTime sentAt;   // of the request, echoed
   bool proof = false;     // derived from a primary or read-only leader that held its lease
   bool attested = false;  // derived from a read-only leader instead of a primary
-  Duration age;           // of the proof when the reply was sent
+  Duration proofAge;      // of the proof when the reply was sent
   View view;
   SectionVersions now;
-  SectionVersions named;  // versions that the leader itself published in the newest proof
+  SectionVersions
+      publishedByLeader;  // versions that the leader itself published in the newest proof
   std::string setup, keys, weights;  // empty where the requester is up to date
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(sentAt) PEPPERGATE_FIELD(proof) PEPPERGATE_FIELD(attested)
-                        PEPPERGATE_FIELD(age) PEPPERGATE_FIELD(view) PEPPERGATE_FIELD(now)
-                            PEPPERGATE_FIELD(named) PEPPERGATE_FIELD(setup) PEPPERGATE_FIELD(keys)
-                                PEPPERGATE_FIELD(weights))
+                        PEPPERGATE_FIELD_AS(proofAge, "age") PEPPERGATE_FIELD(view)
+                            PEPPERGATE_FIELD(now) PEPPERGATE_FIELD_AS(publishedByLeader, "named")
+                                PEPPERGATE_FIELD(setup) PEPPERGATE_FIELD(keys)
+                                    PEPPERGATE_FIELD(weights))
 };
 
 /// The state that primary and backup have synced, sent to the other voters: a change is
@@ -173,32 +176,34 @@
   CoreId readOnlyLeader;
   MonotonicTime sentAt;
   SectionVersions have;
-  bool grant = false;  // false: only probes which voters answer
+  bool requestsGrant = false;  // false: only probes which voters answer
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(view) PEPPERGATE_FIELD(readOnlyLeader) PEPPERGATE_FIELD(sentAt)
-                        PEPPERGATE_FIELD(have) PEPPERGATE_FIELD(grant))
+                        PEPPERGATE_FIELD(have) PEPPERGATE_FIELD_AS(requestsGrant, "grant"))
 };
 
 struct ReadLeaseReply {
   CoreId voter;
   MonotonicTime sentAt;
   bool granted = false;
-  bool votes = false;   // its disk is usable, so it takes part in votes
-  bool intact = false;  // it belongs to the view and has a replica written for it
-  bool proven = false;  // it had a primary's proof since its process started
-  CoreId grantedTo;     // the holder of a conflicting lease, if any
+  bool canVote = false;           // its disk is usable, so it takes part in votes
+  bool hasIntactReplica = false;  // it belongs to the view and has a replica written for it
+  bool hadPrimaryProof = false;   // it had a primary's proof since its process started
+  CoreId conflictingHolder;       // the holder of a conflicting lease, if any
   SectionVersions now;
   std::string setup, keys, weights;  // where the requester is behind
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(voter) PEPPERGATE_FIELD(sentAt) PEPPERGATE_FIELD(granted)
-                        PEPPERGATE_FIELD(votes) PEPPERGATE_FIELD(intact) PEPPERGATE_FIELD(proven)
-                            PEPPERGATE_FIELD(grantedTo) PEPPERGATE_FIELD(now)
-                                PEPPERGATE_FIELD(setup) PEPPERGATE_FIELD(keys)
-                                    PEPPERGATE_FIELD(weights))
+                        PEPPERGATE_FIELD_AS(canVote, "votes")
+                            PEPPERGATE_FIELD_AS(hasIntactReplica, "intact")
+                                PEPPERGATE_FIELD_AS(hadPrimaryProof, "proven")
+                                    PEPPERGATE_FIELD_AS(conflictingHolder, "grantedTo")
+                                        PEPPERGATE_FIELD(now) PEPPERGATE_FIELD(setup)
+                                            PEPPERGATE_FIELD(keys) PEPPERGATE_FIELD(weights))
 };
 
 struct ReadLeaderNotification {  // announces a read-only leader where no primary is reachable
   CoreId readOnlyLeader;
-  Epoch view;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(readOnlyLeader) PEPPERGATE_FIELD(view))
+  Epoch epoch;
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(readOnlyLeader) PEPPERGATE_FIELD_AS(epoch, "view"))
 };
 
 enum class ChangeOutcome : std::uint8_t {
@@ -211,7 +216,7 @@
   kLost,
   kUnsynced,
   kBusy,
-  kWould,
+  kDryRun,
   kReadOnly,
 };
 
@@ -229,10 +234,11 @@
   SectionVersion version;
   std::string field;  // path of the invalid field, if any
   std::string detail;
-  std::uint64_t newest = 0;  // current configuration version, if the change had another base
+  std::uint64_t currentConfigVersion =
+      0;  // current configuration version, if the change had another base
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(ticket) PEPPERGATE_FIELD(changeId) PEPPERGATE_FIELD(outcome)
                         PEPPERGATE_FIELD(version) PEPPERGATE_FIELD(field) PEPPERGATE_FIELD(detail)
-                            PEPPERGATE_FIELD(newest))
+                            PEPPERGATE_FIELD_AS(currentConfigVersion, "newest"))
 };
 
 struct EngineLeaseRequest {
@@ -261,42 +267,44 @@
 };
 
 /// A prefix block that an engine caches, as reported by the member that watches the engine.
-struct KeptPart {
-  PartName name;
-  Wall wall;
+struct CachedPrefixBlock {
+  PrefixBlockName name;
+  CacheDomain cacheDomain;
   WeightsVersion weights;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(name) PEPPERGATE_FIELD(wall) PEPPERGATE_FIELD(weights))
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(name) PEPPERGATE_FIELD_AS(cacheDomain, "wall")
+                        PEPPERGATE_FIELD(weights))
 };
 
 struct EngineSnapshot {
   EngineId engine;
   EngineLife life;
   WeightsVersion weights;
-  std::uint64_t revision = 0;  // the engine's own change counter
-  Duration age;                // since this state was observed
-  std::uint64_t usage = 0;     // running streams
+  std::uint64_t revision = 0;        // the engine's own change counter
+  Duration age;                      // since this state was observed
+  std::uint64_t runningStreams = 0;  // running streams
   bool ready = false;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(engine) PEPPERGATE_FIELD(life) PEPPERGATE_FIELD(weights)
-                        PEPPERGATE_FIELD(revision) PEPPERGATE_FIELD(age) PEPPERGATE_FIELD(usage)
-                            PEPPERGATE_FIELD(ready))
+                        PEPPERGATE_FIELD(revision) PEPPERGATE_FIELD(age)
+                            PEPPERGATE_FIELD_AS(runningStreams, "usage") PEPPERGATE_FIELD(ready))
 };
 
 struct EngineSnapshotNotification {  // the state of the watched engines, sent to every router
   MemberId watcher;
-  std::vector<EngineSnapshot> pictures;
-  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(watcher) PEPPERGATE_FIELD(pictures))
+  std::vector<EngineSnapshot> snapshots;
+  PEPPERGATE_FIELDS(PEPPERGATE_FIELD(watcher) PEPPERGATE_FIELD_AS(snapshots, "pictures"))
 };
 
-struct IndexPut {  // the blocks that an engine caches, sent to the replicas of its index entries
+struct PrefixIndexUpdate {  // the blocks that an engine caches, sent to the replicas of its index
+                            // entries
   EngineId engine;
   EngineLife life;
   std::uint64_t revision = 0;
-  std::vector<KeptPart> parts;
+  std::vector<CachedPrefixBlock> blocks;
   PEPPERGATE_FIELDS(PEPPERGATE_FIELD(engine) PEPPERGATE_FIELD(life) PEPPERGATE_FIELD(revision)
-                        PEPPERGATE_FIELD(parts))
+                        PEPPERGATE_FIELD_AS(blocks, "parts"))
 };
 
-struct IndexRequest {  // requests entries newer than this, for anti-entropy sweeps and reads
+struct PrefixIndexRequest {  // requests entries newer than this, for anti-entropy sweeps and reads
   EngineId engine;
   EngineLife life;
   std::uint64_t revision = 0;
@@ -307,9 +315,10 @@
     std::variant<Shuffle, PrepareRequest, PrepareReply, AcceptRequest, AcceptReply,
                  ReplicateRequest, ReplicateReply, StateRequest, StateReply, ChangeRequest,
                  ChangeReply, EngineLeaseRequest, EngineLeaseReply, EngineListUpdate,
-                 EngineListRequest, EngineSnapshotNotification, IndexPut, IndexRequest,
-                 UsageNotification, WitnessUpdateRequest, WitnessUpdateReply, ReadLeaseRequest,
-                 ReadLeaseReply, ReadLeaderNotification, PrefixBlockUpdate, DiscoveredEnginesUpdate,
-                 DiscoveredEnginesRequest, EngineTrouble, EngineUse, PrefixBlockRequest>;
+                 EngineListRequest, EngineSnapshotNotification, PrefixIndexUpdate,
+                 PrefixIndexRequest, LinkUsageNotification, WitnessUpdateRequest,
+                 WitnessUpdateReply, ReadLeaseRequest, ReadLeaseReply, ReadLeaderNotification,
+                 PrefixBlockUpdate, DiscoveredEnginesUpdate, DiscoveredEnginesRequest,
+                 EngineFailureReport, EngineUsageNotification, PrefixBlockRequest>;
 
 }  // namespace peppergate
--- a/src/core/operator_handler.h
+++ b/src/core/operator_handler.h
@@ -19,39 +19,40 @@
       : OperatorHandlerCollaborators(membership, follower), options_(options) {}
 
   /// Handles a request. Returns false for paths that the node itself serves.
-  bool take(const OperatorRequest& asked, MonotonicTime now, Outbox& outbox);
+  bool handle(const OperatorRequest& request, MonotonicTime now, Outbox& outbox);
   /// Handles the primary's reply to a forwarded change.
-  void hear(const ChangeReply& answer, MonotonicTime now, Outbox& outbox);
+  void handleReply(const ChangeReply& answer, MonotonicTime now, Outbox& outbox);
   /// Answers pending /config readers whose freshness proof has arrived.
-  void settle(MonotonicTime now, Outbox& outbox);
+  void answerReaders(MonotonicTime now, Outbox& outbox);
   /// Retries pending requests and answers those that timed out.
   void tick(MonotonicTime now, Outbox& outbox);
 
  private:
-  struct Forwarded {
-    MonotonicTime since;
-    ChangeRequest ask;
+  struct ForwardedChange {
+    MonotonicTime receivedAt;
+    ChangeRequest request;
     Address sentTo;  // empty if not sent yet
-    MonotonicTime nextAt;
-    std::optional<ChangeReply> refused;  // the last refusal, reset by a retry
+    MonotonicTime nextSendAt;
+    std::optional<ChangeReply> lastRefusal;  // the last refusal, reset by a retry
   };
-  enum class Progress : std::uint8_t { kWaits, kEnded };
-
-  void forward(const OperatorRequest& asked, MonotonicTime now, Outbox& outbox);
-  Progress advance(Forwarded& change, const Address& primary, MonotonicTime now, Outbox& outbox);
-  void pass(const ChangeReply& change, Outbox& outbox);
-  void showSetup(TicketId ticket, Outbox& outbox);
-  void showTrace(TicketId ticket, MonotonicTime now, Outbox& outbox);
+  enum class ForwardState : std::uint8_t { kPending, kAnswered };
+
+  void forwardChange(const OperatorRequest& request, MonotonicTime now, Outbox& outbox);
+  ForwardState retryOrExpire(ForwardedChange& change, const Address& primary, MonotonicTime now,
+                             Outbox& outbox);
+  void answerChange(const ChangeReply& change, Outbox& outbox);
+  void answerSetup(TicketId ticket, Outbox& outbox);
+  void answerTrace(TicketId ticket, MonotonicTime now, Outbox& outbox);
   void readConfig(TicketId ticket, MonotonicTime now, Outbox& outbox);
-  void askNow(MonotonicTime now, Outbox& outbox);
+  void requestStateNow(MonotonicTime now, Outbox& outbox);
   Address primary() const { return membership_.addressOf(follower_.view().primary); }
   void answer(TicketId ticket, int status, const Json& body, Outbox& outbox, bool retry = false);
 
   Options options_;
-  std::map<TicketId, Forwarded> forwarded_;
+  std::map<TicketId, ForwardedChange> forwarded_;
   std::size_t forwardedBytes_ = 0;
-  std::map<TicketId, MonotonicTime> readers_;  // pending /config requests and their start
-  MonotonicTime lastAsk_ = kNever;
+  std::map<TicketId, MonotonicTime> configReaders_;  // pending /config requests and their start
+  MonotonicTime lastStateRequestAt_ = kNever;
 };
 
 /// The name of an outcome in the operators' API.
--- a/src/core/options.cc
+++ b/src/core/options.cc
@@ -9,83 +9,83 @@
 namespace peppergate {
 namespace {
 
-using Slot = std::variant<Duration Options::*, double Options::*, std::int64_t Options::*>;
+using OptionMember = std::variant<Duration Options::*, double Options::*, std::int64_t Options::*>;
 struct OptionRow {
   std::string_view name;
-  Slot slot;
-  bool reload;
+  OptionMember member;
+  bool reloadable;
 };
 
 #define ROW(name, reload) \
   OptionRow { #name, &Options::name, reload }
-constexpr std::array kRows{ROW(lease, false),
-                           ROW(leaseRenewal, false),
-                           ROW(leaseStop, false),
-                           ROW(readLeaseAfter, false),
-                           ROW(readLeaseProbe, false),
-                           ROW(readLeaseYield, false),
-                           ROW(liveLimit, false),
-                           ROW(acknowledgementWait, false),
-                           ROW(replicateTimeout, true),
-                           ROW(syncTimeout, true),
-                           ROW(replaceVoterAfter, true),
-                           ROW(backups, false),
-                           ROW(voterSlots, false),
-                           ROW(applyWithin, false),
-                           ROW(withdrawWithin, false),
-                           ROW(largestSetup, true),
-                           ROW(rememberedChanges, true),
-                           ROW(shuffleEvery, true),
-                           ROW(suspectAfter, true),
-                           ROW(deadAfter, true),
-                           ROW(viewSize, true),
-                           ROW(stateRequestWait, true),
-                           ROW(stateRequestTimeout, true),
-                           ROW(proofLimit, false),
-                           ROW(engineLease, false),
-                           ROW(engineLeaseStop, false),
-                           ROW(engineLeaseGap, false),
-                           ROW(engineLeaseRenewal, false),
-                           ROW(probeEvery, true),
-                           ROW(probeTimeout, true),
-                           ROW(pictureLimit, true),
-                           ROW(orderTimeout, true),
-                           ROW(listEvery, true),
-                           ROW(listRate, true),
-                           ROW(listLag, true),
-                           ROW(drainWithin, true),
-                           ROW(loadsAtOnce, true),
-                           ROW(weightsWithin, true),
-                           ROW(orderLease, false),
-                           ROW(sweepEvery, true),
-                           ROW(oldWeightsLimit, true),
-                           ROW(waveShare, true),
-                           ROW(secondShotShare, true),
-                           ROW(budgetWindow, true),
-                           ROW(budgetShare, true),
-                           ROW(budgetSlack, true),
-                           ROW(connectTimeout, true),
-                           ROW(graceTime, true),
-                           ROW(drainLimit, true),
-                           ROW(largestDeadline, true),
-                           ROW(firstPieceTimeout, true),
-                           ROW(streamsLimit, true),
-                           ROW(engineStreams, true),
-                           ROW(largestBody, true),
-                           ROW(levelTolerance, true),
-                           ROW(rateUnit, true),
-                           ROW(levelRounds, true),
-                           ROW(capacityStart, true),
-                           ROW(capacityTop, true),
-                           ROW(capacityRise, true),
-                           ROW(cutEase, true),
-                           ROW(planEvery, true),
-                           ROW(rungPace, true),
-                           ROW(mixSmoothing, true),
-                           ROW(planMode, true)};
+constexpr std::array kOptionRows{ROW(lease, false),
+                                 ROW(leaseRenewal, false),
+                                 ROW(leaseStop, false),
+                                 ROW(readLeaseAfter, false),
+                                 ROW(readLeaseProbe, false),
+                                 ROW(readLeaseYield, false),
+                                 ROW(liveLimit, false),
+                                 ROW(acknowledgementWait, false),
+                                 ROW(replicateTimeout, true),
+                                 ROW(syncTimeout, true),
+                                 ROW(replaceVoterAfter, true),
+                                 ROW(backups, false),
+                                 ROW(voterSlots, false),
+                                 ROW(applyWithin, false),
+                                 ROW(withdrawWithin, false),
+                                 ROW(largestSetup, true),
+                                 ROW(rememberedChanges, true),
+                                 ROW(shuffleEvery, true),
+                                 ROW(suspectAfter, true),
+                                 ROW(deadAfter, true),
+                                 ROW(viewSize, true),
+                                 ROW(stateRequestWait, true),
+                                 ROW(stateRequestTimeout, true),
+                                 ROW(proofLimit, false),
+                                 ROW(engineLease, false),
+                                 ROW(engineLeaseStop, false),
+                                 ROW(engineLeaseGap, false),
+                                 ROW(engineLeaseRenewal, false),
+                                 ROW(probeEvery, true),
+                                 ROW(probeTimeout, true),
+                                 ROW(pictureLimit, true),
+                                 ROW(orderTimeout, true),
+                                 ROW(listEvery, true),
+                                 ROW(listRate, true),
+                                 ROW(listLag, true),
+                                 ROW(drainWithin, true),
+                                 ROW(loadsAtOnce, true),
+                                 ROW(weightsWithin, true),
+                                 ROW(orderLease, false),
+                                 ROW(sweepEvery, true),
+                                 ROW(oldWeightsLimit, true),
+                                 ROW(waveShare, true),
+                                 ROW(secondShotShare, true),
+                                 ROW(budgetWindow, true),
+                                 ROW(budgetShare, true),
+                                 ROW(budgetSlack, true),
+                                 ROW(connectTimeout, true),
+                                 ROW(graceTime, true),
+                                 ROW(drainLimit, true),
+                                 ROW(largestDeadline, true),
+                                 ROW(firstPieceTimeout, true),
+                                 ROW(streamsLimit, true),
+                                 ROW(engineStreams, true),
+                                 ROW(largestBody, true),
+                                 ROW(levelTolerance, true),
+                                 ROW(rateUnit, true),
+                                 ROW(levelRounds, true),
+                                 ROW(capacityStart, true),
+                                 ROW(capacityTop, true),
+                                 ROW(capacityRise, true),
+                                 ROW(cutEase, true),
+                                 ROW(planEvery, true),
+                                 ROW(rungPace, true),
+                                 ROW(mixSmoothing, true),
+                                 ROW(planMode, true)};
 #undef ROW
 
-struct SlotSetter {
+struct OptionSetter {
   Options& options;
   double number;
   void operator()(Duration Options::*slot) const { options.*slot = seconds(number); }
@@ -95,7 +95,7 @@
   }
 };
 
-struct SlotCopier {
+struct OptionCopier {
   Options& to;
   const Options& from;
   template <class T>
@@ -104,12 +104,12 @@
   }
 };
 
-struct Inequality {
+struct OptionConstraint {
   std::string_view text;
   bool (*holds)(const Options&);
 };
 
-constexpr std::array<Inequality, 19> kInequalities{{
+constexpr std::array<OptionConstraint, 19> kOptionConstraints{{
     {"leaseStop < lease", [](const Options& p) { return p.leaseStop < p.lease; }},
     {"2 * leaseRenewal < leaseStop",
      [](const Options& p) { return p.leaseRenewal * 2 < p.leaseStop; }},
@@ -153,40 +153,41 @@
 }  // namespace
 
 absl::Status setOption(Options& options, std::string_view name, std::string_view value) {
-  auto row = std::ranges::find(kRows, name, &OptionRow::name);
-  if (row == kRows.end()) return absl::NotFoundError("unknown option '" + std::string(name) + "'");
+  auto row = std::ranges::find(kOptionRows, name, &OptionRow::name);
+  if (row == kOptionRows.end())
+    return absl::NotFoundError("unknown option '" + std::string(name) + "'");
   double number = 0;
   auto [end, fault] = std::from_chars(value.data(), value.data() + value.size(), number);
   if (fault != std::errc{} || end != value.data() + value.size() || !std::isfinite(number) ||
       number < 0 || number > 1e9)
     return absl::InvalidArgumentError("option '" + std::string(name) +
                                       "' is not a number between 0 and 1e9");
-  std::visit(SlotSetter{options, number}, row->slot);
+  std::visit(OptionSetter{options, number}, row->member);
   return absl::OkStatus();
 }
 
 absl::Status checkOptions(const Options& options) {
-  for (const auto& inequality : kInequalities)
+  for (const auto& inequality : kOptionConstraints)
     if (!inequality.holds(options))
       return absl::FailedPreconditionError("options violate: " + std::string(inequality.text));
   return absl::OkStatus();
 }
 
-bool mayReload(std::string_view name) {
-  auto row = std::ranges::find(kRows, name, &OptionRow::name);
-  return row != kRows.end() && row->reload;
+bool isReloadable(std::string_view name) {
+  auto row = std::ranges::find(kOptionRows, name, &OptionRow::name);
+  return row != kOptionRows.end() && row->reloadable;
 }
 
-Options mayReloadOnly(const Options& running, const Options& reread) {
+Options withReloadedOptions(const Options& running, const Options& reread) {
   Options options = running;
-  for (const auto& row : kRows)
-    if (row.reload) std::visit(SlotCopier{options, reread}, row.slot);
+  for (const auto& row : kOptionRows)
+    if (row.reloadable) std::visit(OptionCopier{options, reread}, row.member);
   return options;
 }
 
 std::vector<std::string_view> optionNames() {
   std::vector<std::string_view> names;
-  for (const auto& row : kRows) names.push_back(row.name);
+  for (const auto& row : kOptionRows) names.push_back(row.name);
   return names;
 }
 
--- a/src/core/options.h
+++ b/src/core/options.h
@@ -15,40 +15,42 @@
 
 /// A mechanism that enforces a safety invariant. The simulator can disable one, to prove that a
 /// scenario detects its absence; no flag or settings file can.
-enum class Guard : std::uint8_t {
+enum class SafetyGuard : std::uint8_t {
   kFreshness,
   kBudget,
   kNoRepeat,
   kEngineLease,
   kEngineLife,
-  kWall,
+  kCacheDomain,
   kBackupSync,
   kPrimaryLease,
-  kUpward,
+  kMonotonicVersions,
   kDrainList,
   kOldWeights,
-  kHonestRejection,
+  kMayHaveRunReported,
   kSyncFailure,
   kPieceOrder,
   kThirdVoter,
   kProvenGrant,
   kEqualViews,
   kOneGrant,
-  kLiveStale,
+  kStaleStreamEnd,
   kClockLeap,
   kBootstrappers,
 };
-inline constexpr std::array<std::string_view, 21> kGuardNames{
+inline constexpr std::array<std::string_view, 21> kSafetyGuardNames{
     "freshness",    "budget",       "no-repeat",   "engine-hold",  "engine-life", "wall",
     "backup-sync",  "primary-hold", "upward",      "drain-list",   "old-weights", "honest-no",
     "sync-failure", "piece-order",  "third-voter", "proven-grant", "equal-views", "one-grant",
     "live-stale",   "clock-leap",   "founders"};
 
 struct Options {
-  std::uint32_t guardsOff = 0;
+  std::uint32_t disabledGuards = 0;
   ControlFaultInjection faults;  // empty except in tests and the model checker
   /// Whether a guard is enabled; always true outside the simulator.
-  bool guards(Guard guard) const { return ((guardsOff >> static_cast<unsigned>(guard)) & 1U) == 0; }
+  bool isGuardEnabled(SafetyGuard guard) const {
+    return ((disabledGuards >> static_cast<unsigned>(guard)) & 1U) == 0;
+  }
   // The primary's lease.
   Duration lease = seconds(1.2);
   Duration leaseRenewal = seconds(0.3);
@@ -132,9 +134,9 @@
 /// violated.
 absl::Status checkOptions(const Options& options);
 /// Whether SIGHUP may change this option.
-bool mayReload(std::string_view name);
+bool isReloadable(std::string_view name);
 /// The running options, with the reloadable ones replaced by newly read values.
-Options mayReloadOnly(const Options& running, const Options& reread);
+Options withReloadedOptions(const Options& running, const Options& reread);
 /// The names of all options.
 std::vector<std::string_view> optionNames();
 
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -32,11 +32,11 @@
   std::string name;
   std::string content;
 };
-struct DropOlder {  // removes all but the newest numbered files with this prefix
+struct RemoveOlderFiles {  // removes all but the newest numbered files with this prefix
   std::string prefix;
   std::size_t keep = 2;
 };
-struct CallWeb {  // a unary HTTP call; answered by WebAnswered
+struct CallHttp {  // a unary HTTP call; answered by HttpCallAnswered
   TicketId ticket;
   Address address;
   std::string method;
@@ -44,36 +44,37 @@
   Headers headers;
   std::string body;
   Duration timeout;
-  MonotonicTime writeBefore = kForever;  // end of an order's lease, checked again before the write
+  MonotonicTime writeDeadline =
+      kForever;  // end of an order's lease, checked again before the write
 };
-struct OpenShot {  // a streaming HTTP call to an engine, on a connection of its own
-  ShotId shot;
+struct OpenStreamAttempt {  // a streaming HTTP call to an engine, on a connection of its own
+  StreamAttemptId attempt;
   Address address;
   std::string path;
   Headers headers;
   std::string body;
-  MonotonicTime writeBefore;  // checked again immediately before the write
+  MonotonicTime writeDeadline;  // checked again immediately before the write
 };
-struct CancelShot {
-  ShotId shot;
+struct CancelStreamAttempt {
+  StreamAttemptId attempt;
 };
-struct StartAnswer {  // sends the response head to the caller
+struct StartStreamAnswer {  // sends the response head to the caller
   StreamId stream;
   std::string requestId;
   WeightsVersion weights;  // a caller that resumes the stream names it again
 };
 struct SendPiece {
   StreamId stream;
-  Piece piece;
+  PieceIndex piece;
   std::string text;
 };
-enum class AnswerEnd : std::uint8_t { kWhole, kCut };
-struct EndAnswer {  // sends the explicit end event or a typed error event
+enum class StreamAnswerEnd : std::uint8_t { kComplete, kTruncated };
+struct EndStreamAnswer {  // sends the explicit end event or a typed error event
   StreamId stream;
-  AnswerEnd end = AnswerEnd::kWhole;
+  StreamAnswerEnd end = StreamAnswerEnd::kComplete;
   std::string kind;
   bool mayHaveRun = true;
-  Piece next;
+  PieceIndex next;
 };
 struct DeclineStream {  // rejects the stream
   StreamId stream;
@@ -84,24 +85,25 @@
   std::string field;
   std::string requestId;
 };
-struct AnswerWeb {  // the response to an operator or a unary caller
+struct AnswerHttp {  // the response to an operator or a unary caller
   TicketId ticket;
   int status = 200;
   Headers headers;
   std::string body;
 };
-struct NoteState {  // logs a state change
+struct LogState {  // logs a state change
   std::string text;
 };
 using Command =
-    std::variant<Send, Broadcast, WriteFile, DropOlder, CallWeb, OpenShot, CancelShot, StartAnswer,
-                 SendPiece, EndAnswer, DeclineStream, AnswerWeb, NoteState, ListEngines, AskReport,
-                 OrderWeights, PollParts, ListParts, OpenAttempt, CancelAttempt, PauseAttempt,
-                 AnswerHead, AnswerBody, AnswerDone, RefuseRequest>;
+    std::variant<Send, Broadcast, WriteFile, RemoveOlderFiles, CallHttp, OpenStreamAttempt,
+                 CancelStreamAttempt, StartStreamAnswer, SendPiece, EndStreamAnswer, DeclineStream,
+                 AnswerHttp, LogState, ListEngines, RequestEngineReport, OrderWeightsLoad,
+                 PollPrefixBlocks, ListPrefixBlocks, OpenAttempt, CancelAttempt, PauseAttempt,
+                 ForwardResponseHead, ForwardResponseBody, FinishResponse, RejectRequest>;
 
 // ---- events ----
-struct Ticked {};
-struct Arrived {
+struct Tick {};
+struct MessageReceived {
   Address from;
   Message message;
 };
@@ -109,7 +111,7 @@
   TicketId ticket;
   bool synced = false;
 };
-struct WebAnswered {
+struct HttpCallAnswered {
   TicketId ticket;
   int status = 0;  // 0: no answer
   std::string body;
@@ -118,18 +120,25 @@
   StreamId stream;
   Headers headers;  // lower-case names
   std::string body;
-  bool unary = false;  // a unary call to the desk application
+  bool isUnary = false;  // a unary call to the desk application
 };
-struct CallerGone {
+struct StreamCallerGone {
   StreamId stream;
 };
-enum class ShotTurn : std::uint8_t { kWritten, kPiece, kEnded, kBroken, kDeclined, kNotWritten };
-struct ShotTurned {
-  ShotId shot;
-  ShotTurn turn = ShotTurn::kBroken;
-  Piece piece;
-  std::string text;  // the piece, or the engine's error
-  std::string echo;  // the request id that the engine echoed
+enum class StreamAttemptEventKind : std::uint8_t {
+  kWritten,
+  kPiece,
+  kEnded,
+  kBroken,
+  kDeclined,
+  kNotWritten
+};
+struct StreamAttemptEvent {
+  StreamAttemptId attempt;
+  StreamAttemptEventKind kind = StreamAttemptEventKind::kBroken;
+  PieceIndex piece;
+  std::string text;             // the piece, or the engine's error
+  std::string echoedRequestId;  // the request id that the engine echoed
   int status = 0;
 };
 struct OperatorRequest {
@@ -140,9 +149,10 @@
 };
 struct DrainRequest {};
 using Event =
-    std::variant<Ticked, Arrived, FileWritten, WebAnswered, StreamRequest, CallerGone, ShotTurned,
-                 OperatorRequest, DrainRequest, EnginesListed, ReportAnswered, OrderAnswered,
-                 PartsPolled, PartsListed, RequestArrived, RequestGone, ClientSlow, AttemptTurned>;
+    std::variant<Tick, MessageReceived, FileWritten, HttpCallAnswered, StreamRequest,
+                 StreamCallerGone, StreamAttemptEvent, OperatorRequest, DrainRequest, EnginesListed,
+                 EngineReportAnswered, WeightsLoadAnswered, PrefixBlocksPolled, PrefixBlocksListed,
+                 RequestArrived, RequestCancelled, RequestBackpressure, AttemptEvent>;
 
 /// Collects a node's commands and counters.
 class Outbox {
@@ -170,11 +180,11 @@
     else found->second += by;
   }
   /// Removes and returns the queued commands.
-  std::vector<Command> take() { return std::exchange(commands_, {}); }
+  std::vector<Command> takeCommands() { return std::exchange(commands_, {}); }
   /// The counters since the start of the process.
   const std::map<std::string, std::uint64_t, std::less<>>& counters() const { return counters_; }
   /// Returns a ticket that is unique within this process.
-  TicketId ticket() { return {++lastTicket_}; }
+  TicketId newTicket() { return {++lastTicket_}; }
 
  private:
   std::vector<Command> commands_;
--- a/src/core/prefix_index.cc
+++ b/src/core/prefix_index.cc
@@ -4,26 +4,26 @@
 
 namespace peppergate {
 
-bool PrefixIndex::report(IndexPut put) {
+bool PrefixIndex::report(PrefixIndexUpdate put) {
   // Lives have no order among them: only the life in the engine's newest snapshot is valid.
   auto found = engines_.find(put.engine);
   if (found == engines_.end() || put.life != found->second.life) return false;
-  Kept& kept = found->second;
-  if (put.revision <= kept.revision) return false;
-  kept.revision = put.revision;
-  kept.newestRevision = std::max(kept.newestRevision, put.revision);
-  kept.parts.clear();
-  for (auto& part : put.parts) kept.parts[part.name] = part;
+  CacheEntry& entry = found->second;
+  if (put.revision <= entry.revision) return false;
+  entry.revision = put.revision;
+  entry.newestRevision = std::max(entry.newestRevision, put.revision);
+  entry.parts.clear();
+  for (auto& part : put.blocks) entry.parts[part.name] = part;
   return true;
 }
 
-IndexPut PrefixIndex::makePut(const EngineId& engine, const Kept& kept) const {
-  IndexPut put{engine, kept.life, kept.revision, {}};
-  for (const auto& [name, part] : kept.parts) put.parts.push_back(part);
+PrefixIndexUpdate PrefixIndex::makePut(const EngineId& engine, const CacheEntry& entry) const {
+  PrefixIndexUpdate put{engine, entry.life, entry.revision, {}};
+  for (const auto& [name, part] : entry.parts) put.blocks.push_back(part);
   return put;
 }
 
-void PrefixIndex::hear(const Address& from, const IndexPut& put, Outbox& outbox) {
+void PrefixIndex::handle(const Address& from, const PrefixIndexUpdate& put, Outbox& outbox) {
   auto found = engines_.find(put.engine);
   if (found == engines_.end() || found->second.life != put.life) {
     outbox.count("index.otherLife");
@@ -37,46 +37,47 @@
   }
 }
 
-void PrefixIndex::hear(const Address& from, const IndexRequest& ask, Outbox& outbox) {
-  auto found = engines_.find(ask.engine);
+void PrefixIndex::handle(const Address& from, const PrefixIndexRequest& request, Outbox& outbox) {
+  auto found = engines_.find(request.engine);
   if (found == engines_.end()) return;
-  const Kept& kept = found->second;
-  if (kept.life != ask.life || kept.revision > ask.revision)
-    outbox.send(from, makePut(ask.engine, kept));
-  else if (kept.revision < ask.revision)
-    outbox.send(from, IndexRequest{ask.engine, kept.life, kept.revision});
+  const CacheEntry& entry = found->second;
+  if (entry.life != request.life || entry.revision > request.revision)
+    outbox.send(from, makePut(request.engine, entry));
+  else if (entry.revision < request.revision)
+    outbox.send(from, PrefixIndexRequest{request.engine, entry.life, entry.revision});
 }
 
 void PrefixIndex::noteLife(const EngineId& engine, EngineLife life, std::uint64_t revision) {
-  Kept& kept = engines_[engine];
-  if (life != kept.life) {
-    kept = Kept{};
-    kept.life = life;
+  CacheEntry& entry = engines_[engine];
+  if (life != entry.life) {
+    entry = CacheEntry{};
+    entry.life = life;
   }
-  kept.newestRevision = std::max(kept.newestRevision, revision);
+  entry.newestRevision = std::max(entry.newestRevision, revision);
 }
 
-void PrefixIndex::tick(const Ring& ring, MonotonicTime now, Random& random, Outbox& outbox) {
-  for (auto& [engine, kept] : engines_) {
-    bool behind = kept.newestRevision > kept.revision;
-    Duration pace = behind ? milliseconds(500) : options_.sweepEvery;
-    if (now - kept.asked < pace) continue;
-    kept.asked = now;
+void PrefixIndex::tick(const HashRing& ring, MonotonicTime now, Random& random, Outbox& outbox) {
+  for (auto& [engine, entry] : engines_) {
+    bool outdated = entry.newestRevision > entry.revision;
+    Duration pace = outdated ? milliseconds(500) : options_.sweepEvery;
+    if (now - entry.requestedAt < pace) continue;
+    entry.requestedAt = now;
     auto owners = ring.owners(engine, 3);
     if (owners.empty()) continue;
-    bool copies = std::ranges::find(owners, membership_.self().member) != owners.end();
+    bool isReplica = std::ranges::find(owners, membership_.self().member) != owners.end();
     if (owners[0] == membership_.self().member) {
-      spread(ring, engine, outbox);  // periodic sweep: replicas compare their entries
+      replicate(ring, engine, outbox);  // periodic sweep: replicas compare their entries
       continue;
     }
-    if (!behind && !copies) continue;
-    MemberId whom = copies ? owners[0] : owners[random.below(owners.size())];
+    if (!outdated && !isReplica) continue;
+    MemberId peer = isReplica ? owners[0] : owners[random.below(owners.size())];
     outbox.count("index.asked");
-    outbox.send(membership_.addressOf(whom), IndexRequest{engine, kept.life, kept.revision});
+    outbox.send(membership_.addressOf(peer),
+                PrefixIndexRequest{engine, entry.life, entry.revision});
   }
 }
 
-void PrefixIndex::spread(const Ring& ring, const EngineId& engine, Outbox& outbox) {
+void PrefixIndex::replicate(const HashRing& ring, const EngineId& engine, Outbox& outbox) {
   auto found = engines_.find(engine);
   if (found == engines_.end()) return;
   for (MemberId member : ring.owners(engine, 3))
@@ -84,34 +85,34 @@
       outbox.send(membership_.addressOf(member), makePut(engine, found->second));
 }
 
-void PrefixIndex::forget(const EngineId& engine) { engines_.erase(engine); }
+void PrefixIndex::removeEngine(const EngineId& engine) { engines_.erase(engine); }
 
-void PrefixIndex::missing(const EngineId& engine, const PartName& name) {
+void PrefixIndex::removePart(const EngineId& engine, const PrefixBlockName& name) {
   auto found = engines_.find(engine);
   if (found != engines_.end()) found->second.parts.erase(name);
 }
 
-bool PrefixIndex::keeps(const EngineId& engine, const PartName& name, const Wall& wall,
-                        WeightsVersion weights) const {
+bool PrefixIndex::isCached(const EngineId& engine, const PrefixBlockName& name,
+                           const CacheDomain& wall, WeightsVersion weights) const {
   auto found = engines_.find(engine);
   if (found == engines_.end()) return false;
   auto part = found->second.parts.find(name);
   if (part == found->second.parts.end()) return false;
-  if (!options_.guards(Guard::kWall)) return true;
-  return part->second.wall == wall && part->second.weights == weights;
+  if (!options_.isGuardEnabled(SafetyGuard::kCacheDomain)) return true;
+  return part->second.cacheDomain == wall && part->second.weights == weights;
 }
 
-std::vector<EngineId> PrefixIndex::holders(const PartName& name, const Wall& wall,
+std::vector<EngineId> PrefixIndex::holders(const PrefixBlockName& name, const CacheDomain& wall,
                                            WeightsVersion weights) const {
   std::vector<EngineId> holders;
-  for (const auto& [engine, kept] : engines_)
-    if (keeps(engine, name, wall, weights)) holders.push_back(engine);
+  for (const auto& [engine, entry] : engines_)
+    if (isCached(engine, name, wall, weights)) holders.push_back(engine);
   return holders;
 }
 
 std::size_t PrefixIndex::size() const {
   std::size_t parts = 0;
-  for (const auto& [engine, kept] : engines_) parts += kept.parts.size();
+  for (const auto& [engine, entry] : engines_) parts += entry.parts.size();
   return parts;
 }
 
--- a/src/core/read_only_leader.h
+++ b/src/core/read_only_leader.h
@@ -21,56 +21,58 @@
   /// Probes voters, asks for read leases and renews them, or yields to an election, when due.
   void tick(MonotonicTime now, Outbox& outbox);
   /// Answers another core's request for a read lease, or its probe.
-  void ask(const Address& from, const ReadLeaseRequest& ask, MonotonicTime now, Outbox& outbox);
-  void hear(const ReadLeaseReply& answer, MonotonicTime now, Outbox& outbox);
+  void handleRequest(const Address& from, const ReadLeaseRequest& request, MonotonicTime now,
+                     Outbox& outbox);
+  void handleReply(const ReadLeaseReply& reply, MonotonicTime now, Outbox& outbox);
   /// Another core campaigns: yields to it unless this core yielded shortly before.
-  void candidateHeard(MonotonicTime now, Outbox& outbox);
+  void handleCandidate(MonotonicTime now, Outbox& outbox);
   /// Another read-only leader yielded to an election, by a release with epoch 0: this core doesn't
   /// take its place at once.
-  void allowElection(MonotonicTime now);
+  void pauseForElection(MonotonicTime now);
 
   /// A voter answered this core, so it is reachable.
-  void heardVoter(CoreId voter, MonotonicTime now) { seen_[voter] = now; }
+  void noteReachableVoter(CoreId voter, MonotonicTime now) { lastAnswers_[voter] = now; }
   /// Whether this core is a read-only leader with a valid lease.
-  bool attests(MonotonicTime now) const { return now < leaseUntil_; }
+  bool hasReadLease(MonotonicTime now) const { return now < leaseUntil_; }
   /// Whether it is or wants to become a read-only leader; then it doesn't campaign.
-  bool wants() const { return wants_; }
+  bool wantsReadLease() const { return wantsReadLease_; }
 
  private:
-  struct Round {
+  struct LeaseRound {
     std::set<CoreId> voters;
     bool intact = false;
     bool allProven = true;
   };
-  bool able() const;
+  bool isEligible() const;
   /// Whether each majority that could elect a leader contains one of these voters.
-  bool blocks(const std::set<CoreId>& voters) const;
+  bool blocksElections(const std::set<CoreId>& voters) const;
   /// Whether a leader of the accepted view, or of a later one, proved its state to this process. A
   /// proof of an earlier view doesn't cover changes that voters which were replaced since stored.
-  bool proven() const {
-    return follower_.primaryOrigin() > started_ &&
-           follower_.primaryEpoch() >= acceptor_.record().accepted.epoch;
+  bool hasLeaderProof() const {
+    return follower_.leaderProofOrigin() > started_ &&
+           follower_.leaderProofEpoch() >= acceptor_.record().accepted.epoch;
   }
-  void adoptOwnReplica(MonotonicTime now, Outbox& outbox);
-  void count(Round& round, CoreId voter, bool intact, bool isProven) const;
+  void installOwnReplica(MonotonicTime now, Outbox& outbox);
+  void recordGrant(LeaseRound& round, CoreId voter, bool intact, bool isProven) const;
   void sendRound(bool grant, MonotonicTime now, Outbox& outbox);
-  void quit(std::string_view why, Outbox& outbox);
-  void yield(MonotonicTime now, std::string_view why, Outbox& outbox);
-  std::set<CoreId> inSight(MonotonicTime now) const;
+  void stop(std::string_view reason, Outbox& outbox);
+  void yieldToElection(MonotonicTime now, std::string_view reason, Outbox& outbox);
+  std::set<CoreId> reachableVoters(MonotonicTime now) const;
   CoreId self() const { return acceptor_.record().identity; }
 
   Options options_;
   MonotonicTime started_;
-  MonotonicTime lookingSince_ = kForever, nextAsk_{}, nextNote_{}, yieldUntil_ = kNever;
-  MonotonicTime sightSince_ = kForever, mayYieldAgain_ = kNever;
+  MonotonicTime probingSince_ = kForever, nextRequestAt_{}, nextNotificationAt_{},
+                yieldUntil_ = kNever;
+  MonotonicTime majorityReachableSince_ = kForever, mayYieldAgain_ = kNever;
   MonotonicTime leaseUntil_ = kNever;
-  Duration yieldFor_{};
-  std::map<std::int64_t, Round> rounds_;  // by the time of the request
-  std::map<CoreId, MonotonicTime> seen_;
-  std::set<CoreId> lastSight_;
-  SectionVersions highest_;  // known by any voter that granted a lease
-  bool wants_ = false;
-  bool attesting_ = false;
+  Duration yieldDuration_{};
+  std::map<std::int64_t, LeaseRound> rounds_;  // by the time of the request
+  std::map<CoreId, MonotonicTime> lastAnswers_;
+  std::set<CoreId> lastReachable_;
+  SectionVersions highestGrantorVersions_;  // known by any voter that granted a lease
+  bool wantsReadLease_ = false;
+  bool active_ = false;
 };
 
 }  // namespace peppergate
--- a/src/core/remembered_changes.cc
+++ b/src/core/remembered_changes.cc
@@ -5,17 +5,18 @@
 namespace peppergate {
 namespace {
 
-std::string quoted(const std::string& text) {
+std::string jsonString(const std::string& text) {
   return Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
 /// One record as text: change id, version and configuration version, separated by spaces.
-std::string entryText(const RememberedChange& change) {
+std::string recordText(const RememberedChange& change) {
   return change.id + " " + std::to_string(change.version.epoch.value) + "." +
-         std::to_string(change.version.sequence.value) + " " + std::to_string(change.config.value);
+         std::to_string(change.version.sequence.value) + " " +
+         std::to_string(change.configVersion.value);
 }
 
-RememberedChange readEntry(const Json& entry) {
+RememberedChange parseRecord(const Json& entry) {
   RememberedChange change;
   if (entry.is_object()) {  // the format of earlier releases
     change.id = entry.at("id").get<std::string>();
@@ -31,7 +32,7 @@
   change.id = text.substr(0, version);
   change.version.epoch = {std::strtoull(text.c_str() + version + 1, nullptr, 10)};
   change.version.sequence = {std::strtoull(text.c_str() + dot + 1, nullptr, 10)};
-  change.config = {std::strtoull(text.c_str() + number + 1, nullptr, 10)};
+  change.configVersion = {std::strtoull(text.c_str() + number + 1, nullptr, 10)};
   return change;
 }
 
@@ -40,57 +41,59 @@
 void RememberedChanges::Block::add(const RememberedChange& change) {
   versions.emplace(change.id, change.version);
   if (!text.empty()) text += ',';
-  text += quoted(entryText(change));
+  text += jsonString(recordText(change));
   highest.version = std::max(highest.version, change.version);
-  highest.config = std::max(highest.config, change.config);
+  highest.configVersion = std::max(highest.configVersion, change.configVersion);
 }
 
 const SectionVersion* RememberedChanges::find(const std::string& id) const {
-  if (auto found = newest_.versions.find(id); found != newest_.versions.end())
+  if (auto found = newestBlock_.versions.find(id); found != newestBlock_.versions.end())
     return &found->second;
-  for (const auto& block : full_)
+  for (const auto& block : fullBlocks_)
     if (auto found = block->versions.find(id); found != block->versions.end())
       return &found->second;
   return nullptr;
 }
 
 std::size_t RememberedChanges::size() const {
-  return full_.size() * kBlockSize + newest_.versions.size();
+  return fullBlocks_.size() * kRecordsPerBlock + newestBlock_.versions.size();
 }
 
 void RememberedChanges::add(RememberedChange change, std::size_t limit) {
-  newest_.add(change);
-  if (newest_.versions.size() >= kBlockSize)
-    full_.push_back(std::make_shared<const Block>(std::exchange(newest_, {})));
-  while (!full_.empty() && size() - kBlockSize >= limit) {
-    const ForgottenChanges& gone = full_.front()->highest;
-    forgotten_.version = std::max(forgotten_.version, gone.version);
-    forgotten_.config = std::max(forgotten_.config, gone.config);
-    full_.erase(full_.begin());
+  newestBlock_.add(change);
+  if (newestBlock_.versions.size() >= kRecordsPerBlock)
+    fullBlocks_.push_back(std::make_shared<const Block>(std::exchange(newestBlock_, {})));
+  while (!fullBlocks_.empty() && size() - kRecordsPerBlock >= limit) {
+    const EvictionMarks& evicted = fullBlocks_.front()->highest;
+    evictionMarks_.version = std::max(evictionMarks_.version, evicted.version);
+    evictionMarks_.configVersion = std::max(evictionMarks_.configVersion, evicted.configVersion);
+    fullBlocks_.erase(fullBlocks_.begin());
   }
 }
 
-std::string RememberedChanges::text() const {
+std::string RememberedChanges::recordsText() const {
   std::string text = "[";
-  for (const auto& block : full_) {
+  for (const auto& block : fullBlocks_) {
     text += block->text;
     text += ',';
   }
-  text += newest_.text;
+  text += newestBlock_.text;
   if (text.back() == ',') text.pop_back();
   return text + "]";
 }
 
-std::string RememberedChanges::forgottenText() const {
-  return Json{{"config", forgotten_.config.value}, {"version", toJson(forgotten_.version)}}.dump();
+std::string RememberedChanges::evictionMarksText() const {
+  return Json{{"config", evictionMarks_.configVersion.value},
+              {"version", toJson(evictionMarks_.version)}}
+      .dump();
 }
 
-RememberedChanges RememberedChanges::read(const Json& changes, const Json& forgotten) {
+RememberedChanges RememberedChanges::parse(const Json& changes, const Json& forgotten) {
   RememberedChanges remembered;
-  for (const auto& entry : changes) remembered.add(readEntry(entry), SIZE_MAX);
+  for (const auto& entry : changes) remembered.add(parseRecord(entry), SIZE_MAX);
   if (forgotten.is_object()) {
-    fromJson(forgotten.at("version"), remembered.forgotten_.version);
-    remembered.forgotten_.config = {forgotten.at("config").get<std::uint64_t>()};
+    fromJson(forgotten.at("version"), remembered.evictionMarks_.version);
+    remembered.evictionMarks_.configVersion = {forgotten.at("config").get<std::uint64_t>()};
   }
   return remembered;
 }
--- a/src/core/remembered_changes.h
+++ b/src/core/remembered_changes.h
@@ -22,14 +22,14 @@
 /// The record of an applied change.
 struct RememberedChange {
   std::string id;
-  SectionVersion version;  // as acknowledged
-  ConfigVersion config;    // of the fleet's configuration that it carried; 0 if none
+  SectionVersion version;       // as acknowledged
+  ConfigVersion configVersion;  // of the fleet's configuration that it carried; 0 if none
 };
 
 /// High-water marks of the evicted records; zero if none was evicted.
-struct ForgottenChanges {
-  SectionVersion version;  // the highest that an evicted change created
-  ConfigVersion config;    // the highest configuration that an evicted change carried
+struct EvictionMarks {
+  SectionVersion version;       // the highest that an evicted change created
+  ConfigVersion configVersion;  // the highest configuration that an evicted change carried
 };
 
 /// Copies share all blocks but the newest one, so copying is cheap.
@@ -39,30 +39,30 @@
   const SectionVersion* find(const std::string& id) const;
   /// Adds a change that has no record yet, then evicts the oldest records beyond the limit.
   void add(RememberedChange change, std::size_t limit);
-  const ForgottenChanges& forgotten() const { return forgotten_; }
+  const EvictionMarks& evictionMarks() const { return evictionMarks_; }
   std::size_t size() const;
 
   /// The records as a JSON list, oldest first, in the stored format.
-  std::string text() const;
+  std::string recordsText() const;
   /// The high-water marks as a JSON object, in the stored format.
-  std::string forgottenText() const;
+  std::string evictionMarksText() const;
   /// Parses records and marks; throws a Json::exception if the format is wrong. Also accepts the
   /// list of objects without marks that earlier releases wrote.
-  static RememberedChanges read(const Json& changes, const Json& forgotten);
+  static RememberedChanges parse(const Json& changes, const Json& forgotten);
 
  private:
   /// Consecutive records; a full block is immutable.
   struct Block {
     std::unordered_map<std::string, SectionVersion> versions;
     std::string text;  // the JSON list without its brackets
-    ForgottenChanges highest;
+    EvictionMarks highest;
     void add(const RememberedChange& change);
   };
-  static constexpr std::size_t kBlockSize = 64;
+  static constexpr std::size_t kRecordsPerBlock = 64;
 
-  std::vector<std::shared_ptr<const Block>> full_;
-  Block newest_;
-  ForgottenChanges forgotten_;
+  std::vector<std::shared_ptr<const Block>> fullBlocks_;
+  Block newestBlock_;
+  EvictionMarks evictionMarks_;
 };
 
 }  // namespace peppergate
--- a/src/core/ring.cc
+++ b/src/core/ring.cc
@@ -16,28 +16,28 @@
 
 }  // namespace
 
-Ring::Ring(std::span<const MemberRecord> members) {
+HashRing::HashRing(std::span<const MemberRecord> members) {
   for (const auto& record : members) {
     members_.push_back(record.member);
     Random random(record.member.value);
-    for (int index = 0; index < kPlacesEach; ++index)
-      places_.push_back({random.next(), record.member});
+    for (int index = 0; index < kVirtualNodesPerMember; ++index)
+      virtualNodes_.push_back({random.next(), record.member});
   }
-  std::ranges::sort(places_, {}, &Place::point);
+  std::ranges::sort(virtualNodes_, {}, &VirtualNode::point);
 }
 
-std::vector<MemberId> Ring::owners(const EngineId& engine, std::size_t count) const {
+std::vector<MemberId> HashRing::owners(const EngineId& engine, std::size_t count) const {
   std::vector<MemberId> owners;
-  if (places_.empty()) return owners;
-  auto place = std::ranges::lower_bound(places_, pointOf(engine), {}, &Place::point);
-  for (std::size_t step = 0; step < places_.size() && owners.size() < count; ++step, ++place) {
-    if (place == places_.end()) place = places_.begin();
-    if (std::ranges::find(owners, place->member) == owners.end()) owners.push_back(place->member);
+  if (virtualNodes_.empty()) return owners;
+  auto node = std::ranges::lower_bound(virtualNodes_, pointOf(engine), {}, &VirtualNode::point);
+  for (std::size_t step = 0; step < virtualNodes_.size() && owners.size() < count; ++step, ++node) {
+    if (node == virtualNodes_.end()) node = virtualNodes_.begin();
+    if (std::ranges::find(owners, node->member) == owners.end()) owners.push_back(node->member);
   }
   return owners;
 }
 
-bool Ring::isFor(std::span<const MemberRecord> members) const {
+bool HashRing::isBuiltFrom(std::span<const MemberRecord> members) const {
   return std::ranges::equal(members_, members, {}, {}, &MemberRecord::member);
 }
 
--- a/src/core/ring.h
+++ b/src/core/ring.h
@@ -9,22 +9,22 @@
 namespace peppergate {
 
 /// A hash ring with several virtual nodes for each member. The first owner of an engine watches it.
-class Ring {
+class HashRing {
  public:
-  static constexpr int kPlacesEach = 64;
-  Ring() = default;
-  explicit Ring(std::span<const MemberRecord> members);
+  static constexpr int kVirtualNodesPerMember = 64;
+  HashRing() = default;
+  explicit HashRing(std::span<const MemberRecord> members);
   /// The first different members clockwise from the engine's point, at most `count` of them.
   std::vector<MemberId> owners(const EngineId& engine, std::size_t count) const;
   /// Whether the ring was built from exactly these members.
-  bool isFor(std::span<const MemberRecord> members) const;
+  bool isBuiltFrom(std::span<const MemberRecord> members) const;
 
  private:
-  struct Place {
+  struct VirtualNode {
     std::uint64_t point;
     MemberId member;
   };
-  std::vector<Place> places_;
+  std::vector<VirtualNode> virtualNodes_;
   std::vector<MemberId> members_;
 };
 
--- a/src/core/schemas.cc
+++ b/src/core/schemas.cc
@@ -153,9 +153,9 @@
   "additionalProperties": false
 })json";
 
-struct Compiled {
+struct CompiledSchema {
   valijson::Schema schema;
-  explicit Compiled(std::string_view text) {
+  explicit CompiledSchema(std::string_view text) {
     Json document = Json::parse(text);
     valijson::SchemaParser parser;
     valijson::adapters::NlohmannJsonAdapter adapter(document);
@@ -163,18 +163,18 @@
   }
 };
 
-const valijson::Schema& compiledFor(SchemaName name) {
-  static const Compiled kChange(kChangeSchema);
-  static const Compiled kStream(kStreamSchema);
-  static const Compiled kEngineList(kEngineListSchema);
-  static const Compiled kPlacement(kPlacementSchema);
+const valijson::Schema& compiledSchema(SchemaName name) {
+  static const CompiledSchema kChange(kChangeSchema);
+  static const CompiledSchema kStream(kStreamSchema);
+  static const CompiledSchema kEngineList(kEngineListSchema);
+  static const CompiledSchema kPlacement(kPlacementSchema);
   static const std::array kAll{&kChange, &kStream, &kEngineList, &kPlacement};
   return kAll[static_cast<std::size_t>(name)]->schema;
 }
 
 }  // namespace
 
-std::string_view schemaFor(SchemaName schema) {
+std::string_view schemaText(SchemaName schema) {
   static constexpr std::array kTexts{kChangeSchema, kStreamSchema, kEngineListSchema,
                                      kPlacementSchema};
   return kTexts[static_cast<std::size_t>(schema)];
@@ -184,7 +184,7 @@
   valijson::Validator validator;
   valijson::adapters::NlohmannJsonAdapter target(document);
   valijson::ValidationResults results;
-  if (validator.validate(compiledFor(schema), target, &results)) return std::nullopt;
+  if (validator.validate(compiledSchema(schema), target, &results)) return std::nullopt;
   FieldFault fault{"<root>", "does not match the schema"};
   // The most deeply nested of the reported violations identifies the field best.
   valijson::ValidationResults::Error error;
--- a/src/core/section_readers.cc
+++ b/src/core/section_readers.cc
@@ -14,27 +14,28 @@
       setup.classes[name] = {entry.at("a"), entry.at("b"), entry.at("c"), entry.at("floor")};
     setup.partBytesPerCharacter = document.value("partBytesPerCharacter", 1000.0);
     for (const auto& [id, entry] : document.at("tenants").items()) {
-      const Json& made = document.at("templates").at(entry.at("template").get<std::string>());
-      Json parameters = made.value("defaults", Json::object());
+      const Json& tenantTemplate =
+          document.at("templates").at(entry.at("template").get<std::string>());
+      Json parameters = tenantTemplate.value("defaults", Json::object());
       parameters.update(entry.at("parameters"));
       Tenant tenant;
       tenant.templateName = entry.at("template");
-      tenant.className = made.at("class");
+      tenant.className = tenantTemplate.at("class");
       tenant.rank = parameters.at("rank");
-      tenant.wall = {parameters.at("wall").get<std::string>()};
-      tenant.weights = {parameters.value("weights", std::uint64_t{0})};
+      tenant.cacheDomain = {parameters.at("wall").get<std::string>()};
+      tenant.minWeightsVersion = {parameters.value("weights", std::uint64_t{0})};
       tenant.topRung =
           parameters.value("topRung", static_cast<std::int64_t>(setup.rungs.size()) - 1);
-      tenant.share = parameters.value("share", std::int64_t{0});
+      tenant.maxStreamsPerRouter = parameters.value("share", std::int64_t{0});
       setup.tenants[{id}] = tenant;
     }
     if (auto fleet = document.find("fleet"); fleet != document.end()) {
       auto config = readFleetConfig(*fleet);
       if (!config.ok()) return config.status();
-      setup.fleet = std::move(*config);
+      setup.fleetConfig = std::move(*config);
     }
-  } catch (const Json::exception& wrong) {
-    return absl::DataLossError(wrong.what());
+  } catch (const Json::exception& error) {
+    return absl::DataLossError(error.what());
   }
   return setup;
 }
@@ -46,10 +47,10 @@
   try {
     for (const auto& [digest, tenant] : document.at("live").items())
       keys.live[{digest}] = {tenant.get<std::string>()};
-    for (const auto& [digest, gone] : document.at("withdrawn").items())
+    for (const auto& [digest, unused] : document.at("withdrawn").items())
       keys.withdrawn.insert({digest});
-  } catch (const Json::exception& wrong) {
-    return absl::DataLossError(wrong.what());
+  } catch (const Json::exception& error) {
+    return absl::DataLossError(error.what());
   }
   return keys;
 }
@@ -64,8 +65,8 @@
     if (auto models = document.find("models"); models != document.end())
       for (const auto& [model, version] : models->items())
         weights.models[{model}] = {version.get<std::uint64_t>()};
-  } catch (const Json::exception& wrong) {
-    return absl::DataLossError(wrong.what());
+  } catch (const Json::exception& error) {
+    return absl::DataLossError(error.what());
   }
   return weights;
 }
--- a/src/core/spread_broadcast.cc
+++ b/src/core/spread_broadcast.cc
@@ -6,9 +6,9 @@
 namespace {
 
 void markForRelay(Message& message) {
-  if (auto* use = std::get_if<EngineUse>(&message)) use->relay = true;
-  else if (auto* usage = std::get_if<UsageNotification>(&message)) usage->relay = true;
-  else if (auto* news = std::get_if<PrefixBlockUpdate>(&message)) news->relay = true;
+  if (auto* use = std::get_if<EngineUsageNotification>(&message)) use->relay = true;
+  else if (auto* usage = std::get_if<LinkUsageNotification>(&message)) usage->relay = true;
+  else if (auto* blocks = std::get_if<PrefixBlockUpdate>(&message)) blocks->relay = true;
 }
 
 }  // namespace
@@ -30,8 +30,9 @@
   begin(std::move(targets.direct), std::move(messages), span, now);
 }
 
-std::size_t SpreadBroadcast::due(const Round& round, MonotonicTime now) const {
-  double share = round.span > Duration{} ? inSeconds(now - round.began) / inSeconds(round.span) : 1;
+std::size_t SpreadBroadcast::dueReceivers(const Round& round, MonotonicTime now) const {
+  double share =
+      round.span > Duration{} ? inSeconds(now - round.startedAt) / inSeconds(round.span) : 1;
   auto receivers = static_cast<double>(round.receivers.size());
   auto due = static_cast<std::size_t>(receivers * std::clamp(share, 0.0, 1.0));
   return std::min(due + portion_, round.receivers.size());
@@ -39,14 +40,14 @@
 
 void SpreadBroadcast::tick(MonotonicTime now, Outbox& outbox) {
   for (auto& round : rounds_) {
-    std::size_t until = due(round, now);
-    if (until <= round.sent) continue;
-    auto first = round.receivers.begin() + static_cast<std::ptrdiff_t>(round.sent);
+    std::size_t until = dueReceivers(round, now);
+    if (until <= round.receiversServed) continue;
+    auto first = round.receivers.begin() + static_cast<std::ptrdiff_t>(round.receiversServed);
     auto last = round.receivers.begin() + static_cast<std::ptrdiff_t>(until);
     for (const auto& message : round.messages) outbox.push(Broadcast{{first, last}, message});
-    round.sent = until;
+    round.receiversServed = until;
   }
-  while (!rounds_.empty() && rounds_.front().sent == rounds_.front().receivers.size())
+  while (!rounds_.empty() && rounds_.front().receiversServed == rounds_.front().receivers.size())
     rounds_.pop_front();
 }
 
--- a/src/core/spread_broadcast.h
+++ b/src/core/spread_broadcast.h
@@ -13,9 +13,9 @@
 /// receiver gets the messages of a round together, and the rounds in the order of their start.
 class SpreadBroadcast {
  public:
-  static constexpr std::size_t kUsualPortion = 8;
+  static constexpr std::size_t kDefaultPortion = 8;
   /// `portion`: the number of receivers that may always be served at once.
-  explicit SpreadBroadcast(std::size_t portion = kUsualPortion) : portion_(portion) {}
+  explicit SpreadBroadcast(std::size_t portion = kDefaultPortion) : portion_(portion) {}
   /// Starts a round that reaches the last receiver within `span`.
   void begin(std::vector<Address> receivers, std::vector<Message> messages, Duration span,
              MonotonicTime now);
@@ -31,11 +31,11 @@
   struct Round {
     std::vector<Address> receivers;
     std::vector<std::shared_ptr<const Message>> messages;
-    MonotonicTime began;
+    MonotonicTime startedAt;
     Duration span;
-    std::size_t sent = 0;  // number of receivers served
+    std::size_t receiversServed = 0;  // number of receivers served
   };
-  std::size_t due(const Round& round, MonotonicTime now) const;
+  std::size_t dueReceivers(const Round& round, MonotonicTime now) const;
 
   std::size_t portion_;
   std::deque<Round> rounds_;
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -35,30 +35,30 @@
   std::int64_t topRung = 0;
   bool resumable = false;
   bool unary = false;
-  std::optional<WeightsVersion> bound;  // weights that further attempts must use
+  std::optional<WeightsVersion> requiredWeights;  // weights that further attempts must use
   // State while the stream runs:
-  Piece next;               // the next piece to pass to the caller
-  bool started = false;     // the response head was sent to the caller
+  PieceIndex nextPiece;     // the next piece to pass to the caller
+  bool headSent = false;    // the response head was sent to the caller
   bool mayHaveRun = false;  // an attempt may have reached an engine
-  int shots = 0;
-  std::optional<ShotId> shot;
+  int attemptCount = 0;
+  std::optional<StreamAttemptId> attempt;
   EngineId engine;
   WeightsVersion weights;
-  MonotonicTime sent;
-  bool firstCame = false;
-  bool collects = false;
-  std::string gathered;  // response text of a unary call
+  MonotonicTime sentAt;
+  bool firstPieceReceived = false;
+  bool fetchesParts = false;
+  std::string unaryText;  // response text of a unary call
 };
 
 /// The components of a front node that its streams use.
-struct FrontParts {
+struct FrontComponents {
   const Options& options;
   Membership& membership;
   Follower& follower;
   EngineWatch& watch;
   PrefixIndex& index;
-  FetchDesk& fetches;
-  Gate& gate;
+  FetchPlanner& fetchPlanner;
+  AdmissionController& admission;
   Random& random;
   const EngineList& list;
 };
@@ -67,57 +67,62 @@
 /// failed attempts within the retry budget.
 class Streams {
  public:
-  explicit Streams(FrontParts parts);
+  explicit Streams(FrontComponents components);
   /// Handles a caller's request: admits it and sends a first attempt, or declines it at once.
-  void ask(const StreamRequest& asked, MonotonicTime now, Outbox& outbox);
+  void handleRequest(const StreamRequest& request, MonotonicTime now, Outbox& outbox);
   /// Handles an event of an attempt, such as a piece that arrived or a failure.
-  void turn(const ShotTurned& turned, MonotonicTime now, Outbox& outbox);
+  void handleAttemptEvent(const StreamAttemptEvent& event, MonotonicTime now, Outbox& outbox);
   /// Handles a caller's disconnect: cancels its attempt and does not retry.
-  void gone(StreamId stream, Outbox& outbox);
+  void handleCallerGone(StreamId stream, Outbox& outbox);
   /// Ends streams that are past their deadline, whose key was withdrawn or whose proof of the
   /// control state is too old; retries those whose first piece is overdue. Called on each tick.
   void tick(MonotonicTime now, Outbox& outbox);
   /// Declines new streams from now on; called on SIGTERM.
   void drain() { draining_ = true; }
-  std::size_t live() const { return streams_.size(); }
+  std::size_t activeStreams() const { return streams_.size(); }
   bool draining() const { return draining_; }
   /// The running attempt of a stream, if it has one.
-  std::optional<ShotId> shotOf(StreamId stream) const {
+  std::optional<StreamAttemptId> attemptOf(StreamId stream) const {
     auto found = streams_.find(stream);
-    return found == streams_.end() ? std::nullopt : found->second.shot;
+    return found == streams_.end() ? std::nullopt : found->second.attempt;
   }
 
  private:
-  struct Assigned {
+  struct Assignment {
     EngineId engine;
     EngineView view;
   };
-  void decline(const StreamRequest& asked, int status, std::string_view kind, Outbox& outbox,
+  void decline(const StreamRequest& request, int status, std::string_view kind, Outbox& outbox,
                bool retry = false, std::string field = {}, std::string requestId = {});
-  bool readAsk(const StreamRequest& asked, Stream& stream, MonotonicTime now, Outbox& outbox);
-  bool readBody(const StreamRequest& asked, Stream& stream, Outbox& outbox);
-  GateUsage usage(Service service, MonotonicTime now) const;
-  std::optional<Assigned> assign(const Stream& stream, MonotonicTime now);
-  std::vector<PartName> names(const Stream& stream, WeightsVersion weights) const;
-  void shoot(Stream& stream, const Assigned& assigned, MonotonicTime now, Outbox& outbox);
-  void planSource(Stream& stream, const Assigned& assigned, const std::vector<PartName>& names,
-                  OpenShot& shot, MonotonicTime now, Outbox& outbox);
-  void again(Stream& stream, std::string_view why, MonotonicTime now, Outbox& outbox);
-  void piece(Stream& stream, const ShotTurned& turned, MonotonicTime now, Outbox& outbox);
+  bool parseRequest(const StreamRequest& request, Stream& stream, MonotonicTime now,
+                    Outbox& outbox);
+  bool parseBody(const StreamRequest& request, Stream& stream, Outbox& outbox);
+  ServiceLoad serviceLoad(Service service, MonotonicTime now) const;
+  std::optional<Assignment> chooseEngine(const Stream& stream, MonotonicTime now);
+  std::vector<PrefixBlockName> partNamesOf(const Stream& stream, WeightsVersion weights) const;
+  void sendAttempt(Stream& stream, const Assignment& assignment, MonotonicTime now, Outbox& outbox);
+  void planFetch(Stream& stream, const Assignment& assignment,
+                 const std::vector<PrefixBlockName>& names, OpenStreamAttempt& attempt,
+                 MonotonicTime now, Outbox& outbox);
+  void retryStream(Stream& stream, std::string_view reason, MonotonicTime now, Outbox& outbox);
+  void handlePiece(Stream& stream, const StreamAttemptEvent& event, MonotonicTime now,
+                   Outbox& outbox);
   void finish(Stream& stream, Outbox& outbox);
   void giveUp(Stream& stream, int status, std::string_view kind, Outbox& outbox);
-  void end(StreamId stream, Outbox& outbox);
-  Budget& budget(Service service) { return budgets_[static_cast<std::size_t>(service)]; }
+  void removeStream(StreamId stream, Outbox& outbox);
+  RetryBudget& retryBudget(Service service) {
+    return retryBudgets_[static_cast<std::size_t>(service)];
+  }
 
-  FrontParts front_;
+  FrontComponents front_;
   std::map<StreamId, Stream> streams_;
-  std::map<ShotId, StreamId> shots_;
-  std::map<EngineId, std::int64_t> running_;
-  std::array<Budget, kServices> budgets_;
+  std::map<StreamAttemptId, StreamId> attempts_;
+  std::map<EngineId, std::int64_t> runningByEngine_;
+  std::array<RetryBudget, kServices> retryBudgets_;
   std::uint64_t lastRequest_ = 0;
-  std::uint64_t lastShot_ = 0;
+  std::uint64_t lastAttempt_ = 0;
   std::uint64_t changesSeen_ = 0;
-  Duration base_ = milliseconds(60);  // of streams without a fetch
+  Duration meanFirstPieceTime_ = milliseconds(60);  // of streams without a fetch
   bool draining_ = false;
 };
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -21,16 +21,16 @@
 using EngineLife = Tagged<struct EngineLifeTag, std::uint64_t>;  // one run of one engine
 using ListVersion = Tagged<struct ListVersionTag, std::uint64_t>;
 using StreamId = Tagged<struct StreamIdTag, std::uint64_t>;
-using ShotId = Tagged<struct ShotIdTag, std::uint64_t>;
+using StreamAttemptId = Tagged<struct StreamAttemptIdTag, std::uint64_t>;
 using TicketId = Tagged<struct TicketIdTag, std::uint64_t>;
-using Piece = Tagged<struct PieceTag, std::uint64_t>;
+using PieceIndex = Tagged<struct PieceIndexTag, std::uint64_t>;
 using Address = Tagged<struct AddressTag, std::string>;  // "127.0.0.1:7001"
-using Zone = Tagged<struct DistrictTag, std::string>;
+using Zone = Tagged<struct ZoneTag, std::string>;
 using EngineId = Tagged<struct EngineIdTag, std::string>;
 using TenantId = Tagged<struct TenantIdTag, std::string>;
-using Wall = Tagged<struct WallTag, std::string>;
+using CacheDomain = Tagged<struct CacheDomainTag, std::string>;
 using KeyDigest = Tagged<struct KeyDigestTag, std::string>;  // never the key itself
-using PartName = Tagged<struct PartNameTag, std::string>;
+using PrefixBlockName = Tagged<struct PrefixBlockNameTag, std::string>;
 using LinkId = Tagged<struct LinkIdTag, std::string>;
 
 /// A duration in microseconds.
@@ -85,6 +85,6 @@
   return std::to_string(version.epoch.value) + "." + std::to_string(version.sequence.value);
 }
 
-enum class Role : std::uint8_t { kFront = 0, kCore = 1 };
+enum class Role : std::uint8_t { kRouter = 0, kCore = 1 };
 
 }  // namespace peppergate
--- a/src/core/zone_relay.cc
+++ b/src/core/zone_relay.cc
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kFewestForRelay = 4;  // in a zone; smaller zones are served directly
+constexpr std::size_t kMinRoutersForRelay = 4;  // in a zone; smaller zones are served directly
 
 }  // namespace
 
@@ -18,10 +18,10 @@
     if (router.member != self.member) zones[router.zone].push_back(&router);
   RelayTargets targets;
   for (const auto& [zone, members] : zones) {
-    if (zone != self.zone && members.size() >= kFewestForRelay) {
+    if (zone != self.zone && members.size() >= kMinRoutersForRelay) {
       // Each sender starts at a different index, so that a zone's routers share the forwarding.
-      std::size_t place = (Random(self.member.value).next() + turn) % members.size();
-      targets.relays.push_back(members[place]->address);
+      std::size_t index = (Random(self.member.value).next() + turn) % members.size();
+      targets.relays.push_back(members[index]->address);
       continue;
     }
     for (const MemberRecord* member : members) targets.direct.push_back(member->address);
--- a/src/engines/engine.h
+++ b/src/engines/engine.h
@@ -42,34 +42,34 @@
   std::string page;  // empty: the first page
   Duration timeout = seconds(1);
 };
-struct AskReport {
+struct RequestEngineReport {
   TicketId ticket;
   Address address;
   Duration timeout = seconds(1);
 };
 /// How running requests are treated when new weights are loaded.
-enum class LoadMode : std::uint8_t { kWait = 0, kCut, kKeep };
-struct OrderWeights {
+enum class LoadMode : std::uint8_t { kDrainRequests = 0, kAbortRequests, kKeepRequests };
+struct OrderWeightsLoad {
   TicketId ticket;
   Address address;
   EngineId engine;
   ModelName model;
   WeightsVersion version;
-  LoadMode mode = LoadMode::kWait;
+  LoadMode mode = LoadMode::kDrainRequests;
   std::string holder;
-  std::uint64_t fence = 0;
-  std::optional<std::uint64_t> expectedCalls;
+  std::uint64_t fencingToken = 0;
+  std::optional<std::uint64_t> expectedCallCount;
   Duration timeout = seconds(1);
   MonotonicTime writeBefore = kForever;  // checked again when the order is written
 };
-struct PollParts {  // long poll for changes of an engine's or a store's cached prefix blocks
+struct PollPrefixBlocks {  // long poll for changes of an engine's or a store's cached prefix blocks
   TicketId ticket;
   Address address;
   std::uint64_t since = 0;
   Duration wait = milliseconds(1000);
   Duration timeout = seconds(2);
 };
-struct ListParts {  // requests all cached blocks; expensive, stalls the engine
+struct ListPrefixBlocks {  // requests all cached blocks; expensive, stalls the engine
   TicketId ticket;
   Address address;
   Duration timeout = seconds(2);
@@ -82,45 +82,45 @@
   std::vector<Engine> engines;
   std::string nextPage;  // empty: this was the last page
 };
-struct ReportAnswered {
+struct EngineReportAnswered {
   TicketId ticket;
   int status = 0;
   EngineReport report;
 };
-enum class OrderOutcome : std::uint8_t {
+enum class LoadOrderOutcome : std::uint8_t {
   kUnknown = 0,  // no answer: the order may have been accepted
-  kTaken,
-  kHolds,
+  kAccepted,
+  kAlreadyLoaded,
   kBusy,
   kFenced,
   kInvalid,
-  kOtherEngine,
+  kWrongEngine,
   kNotWritten,
 };
-struct OrderAnswered {
+struct WeightsLoadAnswered {
   TicketId ticket;
-  OrderOutcome outcome = OrderOutcome::kUnknown;
+  LoadOrderOutcome outcome = LoadOrderOutcome::kUnknown;
 };
-struct PartChange {
-  std::uint64_t number = 0;
-  bool kept = true;  // otherwise it was evicted, fully or partly
+struct PrefixBlockChange {
+  std::uint64_t sequence = 0;
+  bool cached = true;  // otherwise it was evicted, fully or partly
   std::string salt;
-  std::string part;
+  std::string block;
   std::int64_t tokens = 0;  // cached now
   ModelName model;
 };
-struct PartsPolled {
+struct PrefixBlocksPolled {
   TicketId ticket;
   int status = 0;
   std::uint64_t epoch = 0, next = 0;
   bool lost = false;  // some changes were lost
-  std::vector<PartChange> changes;
+  std::vector<PrefixBlockChange> changes;
 };
-struct PartsListed {
+struct PrefixBlocksListed {
   TicketId ticket;
   int status = 0;
   std::uint64_t epoch = 0, next = 0;
-  std::vector<PartChange> held;
+  std::vector<PrefixBlockChange> blocks;
 };
 
 }  // namespace peppergate
--- a/src/engines/rollout.cc
+++ b/src/engines/rollout.cc
@@ -8,113 +8,116 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kFirstLoadTime = seconds(1.5);  // assumed until one was measured
-constexpr Duration kLastResort = seconds(1.5);  // before the deadline: running requests are cut off
+constexpr Duration kDefaultLoadTime = seconds(1.5);  // assumed until one was measured
+constexpr Duration kLastResortMargin =
+    seconds(1.5);  // before the deadline: running requests are cut off
 constexpr double kLoadSmoothing = 0.4;
 constexpr std::array<std::string_view, 4> kPhaseNames{"announced", "ordering", "loading",
                                                       "checking"};
 
 }  // namespace
 
-Rollout::Rollout(const Options& options, Lister& lister)
-    : options_(options), lister_(lister), namings_(options.weightsWithin) {}
+Rollout::Rollout(const Options& options, EngineDiscovery& discovery)
+    : options_(options), discovery_(discovery), targetHistory_(options.weightsWithin) {}
 
-void Rollout::begin(Epoch epoch, MonotonicTime now) {
+void Rollout::startTerm(Epoch epoch, MonotonicTime now) {
   epoch_ = epoch;
   steps_.clear();
-  orders_.clear();
-  reports_.clear();
-  aside_.clear();
+  openOrders_.clear();
+  openReports_.clear();
+  deferred_.clear();
   // A new term mostly follows a control failure, so the full grace time is granted again.
-  namings_.restart(now);
-  named_.clear();
-  dirty_ = true;
+  targetHistory_.restartBefore(now);
+  targets_.clear();
+  needsSearch_ = true;
   done_ = false;
   // Nobody can have given an order before the fleet's first epoch.
-  firstOrderAt_ = epoch.value <= 1 ? now : now + options_.orderLease;
-  for (const auto& id : lister_.loadingNow()) {
-    const Engine* engine = listed(id);
+  firstOrderAllowedAt_ = epoch.value <= 1 ? now : now + options_.orderLease;
+  for (const auto& id : discovery_.loadingEngines()) {
+    const Engine* engine = findListed(id);
     if (!engine) continue;
-    Step step;
+    LoadStep step;
     step.phase = Phase::kChecking;
     step.service = engine->service;
     step.address = engine->address;
     step.since = step.announcedAt = now;
     step.inherited = true;
-    step.nextReport = now + seconds(0.5);
+    step.nextReportAt = now + seconds(0.5);
     steps_.emplace(id, step);
   }
 }
 
-bool Rollout::leadsOn(MonotonicTime now) const {
-  return epoch_.value != 0 && fencedAt_ != epoch_ && now < heldUntil_;
+bool Rollout::continuesLeadership(MonotonicTime now) const {
+  return epoch_.value != 0 && fencedEpoch_ != epoch_ && now < lastLeaseEnd_;
 }
 
-void Rollout::noteNamings(const Models& named, MonotonicTime now) {
-  if (named == named_) return;
-  named_ = named;
-  dirty_ = true;
-  namings_.note(named, now, now);
+void Rollout::recordTargets(const Models& targets, MonotonicTime now) {
+  if (targets == targets_) return;
+  targets_ = targets;
+  needsSearch_ = true;
+  targetHistory_.record(targets, now, now);
 }
 
-const Engine* Rollout::listed(const EngineId& engine) const {
-  const auto& engines = lister_.engines();
+const Engine* Rollout::findListed(const EngineId& engine) const {
+  const auto& engines = discovery_.engines();
   auto found = std::ranges::lower_bound(engines, engine, {}, &Engine::id);
   return found != engines.end() && found->id == engine ? &*found : nullptr;
 }
 
 WeightsVersion Rollout::versionOf(const Engine& engine, const ModelName& model) const {
-  auto told = engine.models.find(model);
-  WeightsVersion version = told == engine.models.end() ? WeightsVersion{1} : told->second;
-  auto known = known_.find(engine.id);
-  if (known == known_.end()) return version;
-  auto newer = known->second.find(model);
-  return newer == known->second.end() ? version : std::max(version, newer->second);
+  auto listedVersion = engine.models.find(model);
+  WeightsVersion version =
+      listedVersion == engine.models.end() ? WeightsVersion{1} : listedVersion->second;
+  auto knownModels = knownVersions_.find(engine.id);
+  if (knownModels == knownVersions_.end()) return version;
+  auto newer = knownModels->second.find(model);
+  return newer == knownModels->second.end() ? version : std::max(version, newer->second);
 }
 
 MonotonicTime Rollout::deadlineOf(const ModelName& model, WeightsVersion version) const {
-  MonotonicTime since = namings_.outdatedSince(model, version);
+  MonotonicTime since = targetHistory_.outdatedSince(model, version);
   return since == kForever ? kForever : since + options_.weightsWithin;
 }
 
-void Rollout::findWanted() {
-  dirty_ = false;
-  foundAt_ = lister_.version();
-  wanted_.clear();
-  sizes_.clear();
-  std::map<std::pair<ServiceName, Zone>, std::size_t> places;
-  std::vector<std::pair<std::size_t, Wanted>> placed;
-  for (const auto& engine : lister_.engines()) {
+void Rollout::findPendingLoads() {
+  needsSearch_ = false;
+  searchedVersion_ = discovery_.version();
+  pendingLoads_.clear();
+  serviceSizes_.clear();
+  std::map<std::pair<ServiceName, Zone>, std::size_t> zonePositions;
+  std::vector<std::pair<std::size_t, PendingLoad>> ordered;
+  for (const auto& engine : discovery_.engines()) {
     if (engine.draining) continue;
-    ++sizes_[engine.service];
-    std::size_t place = places[{engine.service, engine.zone}]++;
-    for (const auto& [model, told] : engine.models) {
-      auto target = named_.find(model);
-      if (target == named_.end()) continue;
+    ++serviceSizes_[engine.service];
+    std::size_t position = zonePositions[{engine.service, engine.zone}]++;
+    for (const auto& [model, listedVersion] : engine.models) {
+      auto target = targets_.find(model);
+      if (target == targets_.end()) continue;
       WeightsVersion version = versionOf(engine, model);
       if (version >= target->second) continue;
-      placed.push_back(
-          {place, {engine.id, engine.service, model, target->second, deadlineOf(model, version)}});
+      ordered.push_back(
+          {position,
+           {engine.id, engine.service, model, target->second, deadlineOf(model, version)}});
       break;  // an engine loads one model at a time
     }
   }
   // The first engine of each zone, then the second of each, so that no zone is taken out at once.
-  std::ranges::stable_sort(placed, {}, [](const auto& entry) { return entry.first; });
-  for (auto& [place, wanted] : placed) wanted_.push_back(std::move(wanted));
-  std::erase_if(known_, [&](const auto& entry) { return !listed(entry.first); });
-  std::erase_if(aside_, [&](const auto& entry) { return !listed(entry.first); });
+  std::ranges::stable_sort(ordered, {}, [](const auto& entry) { return entry.first; });
+  for (auto& [position, pending] : ordered) pendingLoads_.push_back(std::move(pending));
+  std::erase_if(knownVersions_, [&](const auto& entry) { return !findListed(entry.first); });
+  std::erase_if(deferred_, [&](const auto& entry) { return !findListed(entry.first); });
   std::erase_if(steps_, [&](const auto& entry) {
-    const Engine* engine = listed(entry.first);
+    const Engine* engine = findListed(entry.first);
     return !engine || engine->address != entry.second.address;
   });
 }
 
 Duration Rollout::loadTime(const ServiceName& service) const {
   auto found = loadTimes_.find(service);
-  return found == loadTimes_.end() ? kFirstLoadTime : found->second;
+  return found == loadTimes_.end() ? kDefaultLoadTime : found->second;
 }
 
-std::size_t Rollout::countAt(const ServiceName& service) const {
+std::size_t Rollout::loadsInService(const ServiceName& service) const {
   return static_cast<std::size_t>(std::ranges::count_if(
       steps_, [&](const auto& entry) { return entry.second.service == service; }));
 }
@@ -122,121 +125,124 @@
 std::size_t Rollout::loadsAllowed(MonotonicTime now) const {
   // The remaining work, in engine seconds, over the remaining time. Engines past their deadline
   // serve no requests until they have loaded, so they don't count.
-  struct Left {
+  struct RemainingWork {
     double work = 0;
     MonotonicTime deadline = kForever;
   };
-  std::map<ServiceName, Left> left;
-  for (const auto& wanted : wanted_) {
-    if (wanted.deadline < now || steps_.contains(wanted.engine)) continue;
-    Left& service = left[wanted.service];
-    service.work += inSeconds(loadTime(wanted.service));
-    service.deadline = std::min(service.deadline, wanted.deadline);
+  std::map<ServiceName, RemainingWork> remaining;
+  for (const auto& pending : pendingLoads_) {
+    if (pending.deadline < now || steps_.contains(pending.engine)) continue;
+    RemainingWork& service = remaining[pending.service];
+    service.work += inSeconds(loadTime(pending.service));
+    service.deadline = std::min(service.deadline, pending.deadline);
   }
   for (const auto& [engine, step] : steps_) {
-    auto service = left.find(step.service);
-    if (service == left.end()) continue;
+    auto service = remaining.find(step.service);
+    if (service == remaining.end()) continue;
     double length = inSeconds(loadTime(step.service));
     service->second.work += std::max(0.1 * length, length - inSeconds(now - step.since));
   }
   double needed = 0;
-  for (const auto& [name, service] : left) {
-    double time = inSeconds(service.deadline - now - kLastResort);
-    needed += time <= 0 ? static_cast<double>(wanted_.size()) : std::ceil(service.work / time);
+  for (const auto& [name, service] : remaining) {
+    double time = inSeconds(service.deadline - now - kLastResortMargin);
+    needed +=
+        time <= 0 ? static_cast<double>(pendingLoads_.size()) : std::ceil(service.work / time);
   }
   return std::max(static_cast<std::size_t>(options_.loadsAtOnce), static_cast<std::size_t>(needed));
 }
 
 void Rollout::startNext(MonotonicTime now, Outbox& outbox) {
-  if (now < firstOrderAt_) return;
-  auto busy = static_cast<std::size_t>(
+  if (now < firstOrderAllowedAt_) return;
+  auto active = static_cast<std::size_t>(
       std::ranges::count_if(steps_, [](const auto& entry) { return !entry.second.stuck; }));
   std::size_t allowed = loadsAllowed(now);
-  for (const auto& wanted : wanted_) {
-    if (steps_.contains(wanted.engine)) continue;
-    auto aside = aside_.find(wanted.engine);
-    if (aside != aside_.end() && now < aside->second.until) continue;
-    bool lastResort = now >= wanted.deadline - kLastResort && now < wanted.deadline;
-    bool room = busy < allowed &&
-                countAt(wanted.service) < std::max<std::size_t>(1, sizes_[wanted.service] / 3);
-    if (!room && !lastResort) continue;
-    const Engine* engine = listed(wanted.engine);
+  for (const auto& pending : pendingLoads_) {
+    if (steps_.contains(pending.engine)) continue;
+    auto deferral = deferred_.find(pending.engine);
+    if (deferral != deferred_.end() && now < deferral->second.until) continue;
+    bool lastResort = now >= pending.deadline - kLastResortMargin && now < pending.deadline;
+    bool hasCapacity =
+        active < allowed && loadsInService(pending.service) <
+                                std::max<std::size_t>(1, serviceSizes_[pending.service] / 3);
+    if (!hasCapacity && !lastResort) continue;
+    const Engine* engine = findListed(pending.engine);
     if (!engine) continue;
-    Step step;
-    step.service = wanted.service;
+    LoadStep step;
+    step.service = pending.service;
     step.address = engine->address;
-    step.model = wanted.model;
-    step.target = wanted.target;
-    step.fence = epoch_.value;
-    step.deadline = wanted.deadline;
-    step.since = step.announcedAt = step.nextReport = now;
-    if (aside != aside_.end() && aside->second.unsettled) step.phase = Phase::kChecking;
-    steps_.emplace(wanted.engine, step);
-    ++busy;
+    step.model = pending.model;
+    step.target = pending.target;
+    step.fencingToken = epoch_.value;
+    step.deadline = pending.deadline;
+    step.since = step.announcedAt = step.nextReportAt = now;
+    if (deferral != deferred_.end() && deferral->second.mayBeInProgress)
+      step.phase = Phase::kChecking;
+    steps_.emplace(pending.engine, step);
+    ++active;
     outbox.count("rollout.started");
   }
 }
 
-void Rollout::tick(bool leads, Epoch epoch, MonotonicTime leaseUntil, const Weights& weights,
+void Rollout::tick(bool isLeader, Epoch epoch, MonotonicTime leaseUntil, const Weights& weights,
                    const std::string& holder, MonotonicTime now, Outbox& outbox) {
-  if (!leads) {
+  if (!isLeader) {
     leaseUntil_ = kNever;
-    namings_.note(weights.models, now, now);
+    targetHistory_.record(weights.models, now, now);
     return;
   }
   leaseUntil_ = leaseUntil;
   holder_ = holder;
   if (epoch != epoch_) {
-    if (leadsOn(now)) epoch_ = epoch;
-    else begin(epoch, now);
+    if (continuesLeadership(now)) epoch_ = epoch;
+    else startTerm(epoch, now);
   }
-  heldUntil_ = leaseUntil;
-  if (fencedAt_ == epoch_) {  // a newer leader exists and runs the rollout
-    lister_.loading({}, now, outbox);
+  lastLeaseEnd_ = leaseUntil;
+  if (fencedEpoch_ == epoch_) {  // a newer leader exists and runs the rollout
+    discovery_.setLoading({}, now, outbox);
     return;
   }
-  noteNamings(weights.models, now);
-  if (dirty_ || lister_.version() != foundAt_) findWanted();
+  recordTargets(weights.models, now);
+  if (needsSearch_ || discovery_.version() != searchedVersion_) findPendingLoads();
   for (auto entry = steps_.begin(); entry != steps_.end();) {
     auto next = std::next(entry);  // a step may remove itself
     advance(entry->first, entry->second, now, outbox);
     entry = next;
   }
-  if (dirty_) findWanted();
+  if (needsSearch_) findPendingLoads();
   startNext(now, outbox);
   std::vector<EngineId> loading;
   for (const auto& [engine, step] : steps_) loading.push_back(engine);
-  lister_.loading(std::move(loading), now, outbox);
+  discovery_.setLoading(std::move(loading), now, outbox);
   // The change just made needs no new search.
-  if (lister_.version() != foundAt_) foundAt_ = lister_.version();
-  bool was = done_;
-  done_ = wanted_.empty() && steps_.empty() && lister_.version().value != 0;
-  if (done_ && !was && !named_.empty())
-    outbox.push(NoteState{"all engines run the target weights"});
+  if (discovery_.version() != searchedVersion_) searchedVersion_ = discovery_.version();
+  bool wasDone = done_;
+  done_ = pendingLoads_.empty() && steps_.empty() && discovery_.version().value != 0;
+  if (done_ && !wasDone && !targets_.empty())
+    outbox.push(LogState{"all engines run the target weights"});
 }
 
 void Rollout::finish(const EngineId& engine, bool loaded, MonotonicTime now) {
   auto found = steps_.find(engine);
   if (found == steps_.end()) return;
-  Step step = found->second;
+  LoadStep step = found->second;
   steps_.erase(found);
-  aside_.erase(engine);
-  dirty_ = true;
+  deferred_.erase(engine);
+  needsSearch_ = true;
   if (!loaded || step.inherited) return;
-  known_[engine][step.model] = std::max(known_[engine][step.model], step.target);
-  if (step.orderedAt == kNever) return;
-  Duration took = now - step.orderedAt + seconds(0.12);
-  auto [mean, first] = loadTimes_.try_emplace(step.service, took);
-  if (!first) mean->second = mean->second * (1 - kLoadSmoothing) + took * kLoadSmoothing;
+  knownVersions_[engine][step.model] = std::max(knownVersions_[engine][step.model], step.target);
+  if (step.orderSentAt == kNever) return;
+  Duration took = now - step.orderSentAt + seconds(0.12);
+  auto [entry, added] = loadTimes_.try_emplace(step.service, took);
+  if (!added) entry->second = entry->second * (1 - kLoadSmoothing) + took * kLoadSmoothing;
 }
 
-void Rollout::setAside(const EngineId& engine, Duration wait, MonotonicTime now) {
+void Rollout::deferLoad(const EngineId& engine, Duration delay, MonotonicTime now) {
   auto found = steps_.find(engine);
   if (found == steps_.end()) return;
   Phase phase = found->second.phase;
-  aside_[engine] = {now + wait, phase == Phase::kLoading || phase == Phase::kChecking};
+  deferred_[engine] = {now + delay, phase == Phase::kLoading || phase == Phase::kChecking};
   steps_.erase(found);
-  dirty_ = true;
+  needsSearch_ = true;
 }
 
 Json Rollout::status(MonotonicTime now) const {
@@ -251,11 +257,11 @@
   for (const auto& [service, time] : loadTimes_) times[service.value] = inSeconds(time);
   return {{"done", done_},
           {"epoch", epoch_.value},
-          {"fenced", fencedAt_ == epoch_},
-          {"pending", wanted_.size()},
+          {"fenced", fencedEpoch_ == epoch_},
+          {"pending", pendingLoads_.size()},
           {"loading", std::move(loading)},
           {"loadSeconds", std::move(times)},
-          {"firstOrderIn", std::max(0.0, inSeconds(firstOrderAt_ - now))}};
+          {"firstOrderIn", std::max(0.0, inSeconds(firstOrderAllowedAt_ - now))}};
 }
 
 }  // namespace peppergate
--- a/src/engines/rollout.h
+++ b/src/engines/rollout.h
@@ -18,15 +18,15 @@
 /// across a change of leader, and no two leaders use the same one.
 class Rollout {
  public:
-  Rollout(const Options& options, Lister& lister);
+  Rollout(const Options& options, EngineDiscovery& discovery);
   /// Starts and advances loads. `leaseUntil` is the end of the leader's lease: no order is written
   /// after it. A new leader waits for a whole lease before its first order. Called on each tick,
   /// after discovery.
-  void tick(bool leads, Epoch epoch, MonotonicTime leaseUntil, const Weights& weights,
+  void tick(bool isLeader, Epoch epoch, MonotonicTime leaseUntil, const Weights& weights,
             const std::string& holder, MonotonicTime now, Outbox& outbox);
   /// Handles the answer to an order or a report request; false if the ticket isn't this object's.
-  bool answered(const OrderAnswered& answer, MonotonicTime now, Outbox& outbox);
-  bool answered(const ReportAnswered& answer, MonotonicTime now, Outbox& outbox);
+  bool handle(const WeightsLoadAnswered& answer, MonotonicTime now, Outbox& outbox);
+  bool handle(const EngineReportAnswered& answer, MonotonicTime now, Outbox& outbox);
   /// Whether all engines run the target weights.
   bool done() const { return done_; }
   /// The state of the rollout for the status page.
@@ -41,7 +41,7 @@
     kLoading,    // the order was accepted; reports show when it is done
     kChecking,   // an earlier order may be in progress; a report is needed before a new order
   };
-  struct Step {
+  struct LoadStep {
     Phase phase = Phase::kAnnounced;
     ServiceName service;
     Address address;
@@ -50,18 +50,18 @@
     MonotonicTime since;  // start of this phase
     MonotonicTime announcedAt;
     MonotonicTime deadline = kForever;
-    MonotonicTime orderedAt = kNever;
-    MonotonicTime nextReport = kNever;
+    MonotonicTime orderSentAt = kNever;
+    MonotonicTime nextReportAt = kNever;
     std::optional<TicketId> ticket;
     MonotonicTime ticketSince = kNever;
-    std::optional<std::uint64_t> expectedCalls;
-    int unanswered = 0;
+    std::optional<std::uint64_t> expectedCallCount;
+    int unansweredReports = 0;
     // The same for all its orders, so that the engine doesn't reject a delayed one.
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     bool stuck = false;      // its running requests take long; it doesn't count towards the limit
     bool inherited = false;  // announced by an earlier leader
   };
-  struct Wanted {
+  struct PendingLoad {
     EngineId engine;
     ServiceName service;
     ModelName model;
@@ -70,51 +70,52 @@
   };
   using Models = std::map<ModelName, WeightsVersion>;
 
-  void begin(Epoch epoch, MonotonicTime now);
+  void startTerm(Epoch epoch, MonotonicTime now);
   /// Whether a new epoch is only a view change by this same leader, whose previous lease has not
   /// expired. Nobody else can have given an order in between: another leader, if this one had
   /// released its lease, waits for `orderLease` before its first order, which is longer.
-  bool leadsOn(MonotonicTime now) const;
-  void noteNamings(const Models& named, MonotonicTime now);
-  void findWanted();
-  const Engine* listed(const EngineId& engine) const;
+  bool continuesLeadership(MonotonicTime now) const;
+  void recordTargets(const Models& targets, MonotonicTime now);
+  void findPendingLoads();
+  const Engine* findListed(const EngineId& engine) const;
   WeightsVersion versionOf(const Engine& engine, const ModelName& model) const;
   MonotonicTime deadlineOf(const ModelName& model, WeightsVersion version) const;
   Duration loadTime(const ServiceName& service) const;
-  std::size_t countAt(const ServiceName& service) const;
+  std::size_t loadsInService(const ServiceName& service) const;
   std::size_t loadsAllowed(MonotonicTime now) const;
   void startNext(MonotonicTime now, Outbox& outbox);
-  void advance(const EngineId& engine, Step& step, MonotonicTime now, Outbox& outbox);
-  void order(const EngineId& engine, Step& step, MonotonicTime now, Outbox& outbox);
-  void orderTurned(const EngineId& engine, OrderOutcome outcome, MonotonicTime now, Outbox& outbox);
-  void reportCame(const EngineId& engine, const ReportAnswered& answer, MonotonicTime now);
-  void noReport(const EngineId& engine, MonotonicTime now);
-  void enter(Step& step, Phase phase, MonotonicTime now);
+  void advance(const EngineId& engine, LoadStep& step, MonotonicTime now, Outbox& outbox);
+  void sendOrder(const EngineId& engine, LoadStep& step, MonotonicTime now, Outbox& outbox);
+  void handleOrderOutcome(const EngineId& engine, LoadOrderOutcome outcome, MonotonicTime now,
+                          Outbox& outbox);
+  void handleReport(const EngineId& engine, const EngineReportAnswered& answer, MonotonicTime now);
+  void handleMissingReport(const EngineId& engine, MonotonicTime now);
+  void enterPhase(LoadStep& step, Phase phase, MonotonicTime now);
   void finish(const EngineId& engine, bool loaded, MonotonicTime now);
-  void setAside(const EngineId& engine, Duration wait, MonotonicTime now);
+  void deferLoad(const EngineId& engine, Duration delay, MonotonicTime now);
 
   Options options_;
-  Lister& lister_;
+  EngineDiscovery& discovery_;
   Epoch epoch_;
-  std::optional<Epoch> fencedAt_;
-  MonotonicTime firstOrderAt_ = kForever, leaseUntil_ = kNever;
-  MonotonicTime heldUntil_ = kNever;  // end of the lease at the last tick as the leader
+  std::optional<Epoch> fencedEpoch_;
+  MonotonicTime firstOrderAllowedAt_ = kForever, leaseUntil_ = kNever;
+  MonotonicTime lastLeaseEnd_ = kNever;  // end of the lease at the last tick as the leader
   std::string holder_;
-  Models named_;
-  WeightNamings namings_;
-  std::map<EngineId, Models> known_;  // from reports and order answers; newer than the list
-  std::map<EngineId, Step> steps_;
-  struct Aside {
-    MonotonicTime until;     // no order before this time
-    bool unsettled = false;  // the last order may have been accepted
+  Models targets_;
+  WeightTargetHistory targetHistory_;
+  std::map<EngineId, Models> knownVersions_;  // from reports and order answers; newer than the list
+  std::map<EngineId, LoadStep> steps_;
+  struct Deferral {
+    MonotonicTime until;           // no order before this time
+    bool mayBeInProgress = false;  // the last order may have been accepted
   };
-  std::map<EngineId, Aside> aside_;
-  std::vector<Wanted> wanted_;                // in the order in which they load
-  std::map<ServiceName, std::size_t> sizes_;  // engines of a service that aren't draining
+  std::map<EngineId, Deferral> deferred_;
+  std::vector<PendingLoad> pendingLoads_;            // in the order in which they load
+  std::map<ServiceName, std::size_t> serviceSizes_;  // engines of a service that aren't draining
   std::map<ServiceName, Duration> loadTimes_;
-  std::map<TicketId, EngineId> orders_, reports_;
-  ListVersion foundAt_;
-  bool dirty_ = true, done_ = false;
+  std::map<TicketId, EngineId> openOrders_, openReports_;
+  ListVersion searchedVersion_;
+  bool needsSearch_ = true, done_ = false;
 };
 
 }  // namespace peppergate
--- a/src/engines/rollout_steps.cc
+++ b/src/engines/rollout_steps.cc
@@ -6,171 +6,172 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kAnnounced = milliseconds(120);  // for routers to stop sending
-constexpr Duration kReportEvery = milliseconds(200);
-constexpr Duration kReportsLag = seconds(0.6);  // until a report reflects an order
-constexpr Duration kHoldMargin = milliseconds(50);
-constexpr Duration kLastResort = seconds(1.5);
-constexpr Duration kRequestsTakeLong = seconds(3.5);
-constexpr Duration kTicketSlack = seconds(0.5);
-constexpr Duration kSetAside = seconds(1);
-constexpr int kUnansweredLimit = 4;
+constexpr Duration kAnnouncementDelay = milliseconds(120);  // for routers to stop sending
+constexpr Duration kReportInterval = milliseconds(200);
+constexpr Duration kReportDelay = seconds(0.6);  // until a report reflects an order
+constexpr Duration kLeaseMargin = milliseconds(50);
+constexpr Duration kLastResortMargin = seconds(1.5);
+constexpr Duration kLongRequestTime = seconds(3.5);
+constexpr Duration kAnswerSlack = seconds(0.5);
+constexpr Duration kDeferralTime = seconds(1);
+constexpr int kMaxUnansweredReports = 4;
 
 }  // namespace
 
-void Rollout::enter(Step& step, Phase phase, MonotonicTime now) {
+void Rollout::enterPhase(LoadStep& step, Phase phase, MonotonicTime now) {
   step.phase = phase;
   step.since = now;
   step.ticket.reset();
 }
 
-void Rollout::order(const EngineId& engine, Step& step, MonotonicTime now, Outbox& outbox) {
-  MonotonicTime writeBefore = leaseUntil_ - kHoldMargin;
-  if (now >= writeBefore || now < firstOrderAt_) return;  // retried at the next tick
+void Rollout::sendOrder(const EngineId& engine, LoadStep& step, MonotonicTime now, Outbox& outbox) {
+  MonotonicTime writeBefore = leaseUntil_ - kLeaseMargin;
+  if (now >= writeBefore || now < firstOrderAllowedAt_) return;  // retried at the next tick
   // The newest target version applies as long as nothing was ordered.
-  if (auto target = named_.find(step.model); target != named_.end())
+  if (auto target = targets_.find(step.model); target != targets_.end())
     step.target = std::max(step.target, target->second);
-  OrderWeights command;
-  command.ticket = outbox.ticket();
+  OrderWeightsLoad command;
+  command.ticket = outbox.newTicket();
   command.address = step.address;
   command.engine = engine;
   command.model = step.model;
   command.version = step.target;
-  bool lastResort = now >= step.deadline - kLastResort && now < step.deadline;
-  command.mode = lastResort ? LoadMode::kCut : LoadMode::kWait;
+  bool lastResort = now >= step.deadline - kLastResortMargin && now < step.deadline;
+  command.mode = lastResort ? LoadMode::kAbortRequests : LoadMode::kDrainRequests;
   command.holder = holder_;
-  command.fence = step.fence;
-  command.expectedCalls = step.expectedCalls;
+  command.fencingToken = step.fencingToken;
+  command.expectedCallCount = step.expectedCallCount;
   command.writeBefore = writeBefore;
-  enter(step, Phase::kOrdering, now);
-  step.orderedAt = now;
-  step.expectedCalls.reset();
+  enterPhase(step, Phase::kOrdering, now);
+  step.orderSentAt = now;
+  step.expectedCallCount.reset();
   step.ticket = command.ticket;
   step.ticketSince = now;
-  orders_[command.ticket] = engine;
+  openOrders_[command.ticket] = engine;
   outbox.count(lastResort ? "rollout.cuts" : "rollout.orders");
   outbox.push(std::move(command));
 }
 
-void Rollout::advance(const EngineId& engine, Step& step, MonotonicTime now, Outbox& outbox) {
+void Rollout::advance(const EngineId& engine, LoadStep& step, MonotonicTime now, Outbox& outbox) {
   if (step.ticket) {
-    if (now - step.ticketSince <= seconds(1) + kTicketSlack) return;
+    if (now - step.ticketSince <= seconds(1) + kAnswerSlack) return;
     if (step.phase == Phase::kOrdering) {
-      orders_.erase(*step.ticket);
-      orderTurned(engine, OrderOutcome::kUnknown, now, outbox);
+      openOrders_.erase(*step.ticket);
+      handleOrderOutcome(engine, LoadOrderOutcome::kUnknown, now, outbox);
     } else {
-      reports_.erase(*step.ticket);
-      noReport(engine, now);
+      openReports_.erase(*step.ticket);
+      handleMissingReport(engine, now);
     }
     return;
   }
   if (step.phase == Phase::kAnnounced || step.phase == Phase::kOrdering) {
-    if (now - step.announcedAt >= kAnnounced) order(engine, step, now, outbox);
+    if (now - step.announcedAt >= kAnnouncementDelay) sendOrder(engine, step, now, outbox);
     return;
   }
-  if (now - step.since > kRequestsTakeLong) step.stuck = true;
-  if (now < step.nextReport) return;
-  step.ticket = outbox.ticket();
+  if (now - step.since > kLongRequestTime) step.stuck = true;
+  if (now < step.nextReportAt) return;
+  step.ticket = outbox.newTicket();
   step.ticketSince = now;
-  reports_[*step.ticket] = engine;
+  openReports_[*step.ticket] = engine;
   outbox.count("rollout.reports");
-  outbox.push(AskReport{*step.ticket, step.address, seconds(1)});
+  outbox.push(RequestEngineReport{*step.ticket, step.address, seconds(1)});
 }
 
-bool Rollout::answered(const OrderAnswered& answer, MonotonicTime now, Outbox& outbox) {
-  auto found = orders_.find(answer.ticket);
-  if (found == orders_.end()) return false;
+bool Rollout::handle(const WeightsLoadAnswered& answer, MonotonicTime now, Outbox& outbox) {
+  auto found = openOrders_.find(answer.ticket);
+  if (found == openOrders_.end()) return false;
   EngineId engine = found->second;
-  orders_.erase(found);
+  openOrders_.erase(found);
   auto step = steps_.find(engine);
   if (step != steps_.end() && step->second.ticket == answer.ticket)
-    orderTurned(engine, answer.outcome, now, outbox);
+    handleOrderOutcome(engine, answer.outcome, now, outbox);
   return true;
 }
 
-void Rollout::orderTurned(const EngineId& engine, OrderOutcome outcome, MonotonicTime now,
-                          Outbox& outbox) {
-  Step& step = steps_.at(engine);
+void Rollout::handleOrderOutcome(const EngineId& engine, LoadOrderOutcome outcome,
+                                 MonotonicTime now, Outbox& outbox) {
+  LoadStep& step = steps_.at(engine);
   switch (outcome) {
-    case OrderOutcome::kTaken:
+    case LoadOrderOutcome::kAccepted:
       outbox.count("rollout.taken");
-      enter(step, Phase::kLoading, now);
+      enterPhase(step, Phase::kLoading, now);
       // The first report is requested when comparable engines have nearly finished.
-      step.nextReport = now + std::max(kReportEvery, loadTime(step.service) * 0.7);
-      if (!loadTimes_.contains(step.service)) step.nextReport = now + kReportEvery;
+      step.nextReportAt = now + std::max(kReportInterval, loadTime(step.service) * 0.7);
+      if (!loadTimes_.contains(step.service)) step.nextReportAt = now + kReportInterval;
       return;
-    case OrderOutcome::kHolds:
+    case LoadOrderOutcome::kAlreadyLoaded:
       outbox.count("rollout.held");
-      step.orderedAt = kNever;  // not a sample of the load time
+      step.orderSentAt = kNever;  // not a sample of the load time
       finish(engine, true, now);
       return;
-    case OrderOutcome::kUnknown:
+    case LoadOrderOutcome::kUnknown:
       outbox.count("rollout.unknown");
-      enter(step, Phase::kChecking, now);
-      step.nextReport = step.orderedAt + kReportsLag;  // earlier reports may miss it
+      enterPhase(step, Phase::kChecking, now);
+      step.nextReportAt = step.orderSentAt + kReportDelay;  // earlier reports may miss it
       return;
-    case OrderOutcome::kBusy:
+    case LoadOrderOutcome::kBusy:
       outbox.count("rollout.busy");
-      enter(step, Phase::kChecking, now);
-      step.nextReport = now + kReportEvery;
+      enterPhase(step, Phase::kChecking, now);
+      step.nextReportAt = now + kReportInterval;
       return;
-    case OrderOutcome::kFenced:
+    case LoadOrderOutcome::kFenced:
       outbox.count("rollout.fenced");
-      outbox.push(NoteState{"rollout stopped: an engine has seen a newer fencing token"});
-      fencedAt_ = epoch_;
+      outbox.push(LogState{"rollout stopped: an engine has seen a newer fencing token"});
+      fencedEpoch_ = epoch_;
       steps_.clear();
       return;
-    case OrderOutcome::kNotWritten:
+    case LoadOrderOutcome::kNotWritten:
       outbox.count("rollout.notWritten");
-      enter(step, Phase::kAnnounced, now);
+      enterPhase(step, Phase::kAnnounced, now);
       return;
-    case OrderOutcome::kInvalid:
+    case LoadOrderOutcome::kInvalid:
       outbox.count("rollout.invalid");
-      setAside(engine, kSetAside, now);
+      deferLoad(engine, kDeferralTime, now);
       return;
-    case OrderOutcome::kOtherEngine:
+    case LoadOrderOutcome::kWrongEngine:
       outbox.count("rollout.otherEngine");
-      setAside(engine, kSetAside * 3, now);  // ended earlier by a list without this engine
+      deferLoad(engine, kDeferralTime * 3, now);  // ended earlier by a list without this engine
       return;
   }
 }
 
-bool Rollout::answered(const ReportAnswered& answer, MonotonicTime now, Outbox&) {
-  auto found = reports_.find(answer.ticket);
-  if (found == reports_.end()) return false;
+bool Rollout::handle(const EngineReportAnswered& answer, MonotonicTime now, Outbox&) {
+  auto found = openReports_.find(answer.ticket);
+  if (found == openReports_.end()) return false;
   EngineId engine = found->second;
-  reports_.erase(found);
+  openReports_.erase(found);
   auto step = steps_.find(engine);
   if (step == steps_.end() || step->second.ticket != answer.ticket) return true;
   step->second.ticket.reset();
-  if (answer.status == 200) reportCame(engine, answer, now);
-  else noReport(engine, now);
+  if (answer.status == 200) handleReport(engine, answer, now);
+  else handleMissingReport(engine, now);
   return true;
 }
 
-void Rollout::noReport(const EngineId& engine, MonotonicTime now) {
-  Step& step = steps_.at(engine);
+void Rollout::handleMissingReport(const EngineId& engine, MonotonicTime now) {
+  LoadStep& step = steps_.at(engine);
   step.ticket.reset();
-  step.nextReport = now + kReportEvery;
+  step.nextReportAt = now + kReportInterval;
   // Other engines proceed; this one is retried once it answers again or is listed under a new id.
-  if (++step.unanswered >= kUnansweredLimit) setAside(engine, kSetAside, now);
+  if (++step.unansweredReports >= kMaxUnansweredReports) deferLoad(engine, kDeferralTime, now);
 }
 
-void Rollout::reportCame(const EngineId& engine, const ReportAnswered& answer, MonotonicTime now) {
-  Step& step = steps_.at(engine);
+void Rollout::handleReport(const EngineId& engine, const EngineReportAnswered& answer,
+                           MonotonicTime now) {
+  LoadStep& step = steps_.at(engine);
   const EngineReport& report = answer.report;
-  step.unanswered = 0;
-  step.nextReport = now + kReportEvery;
+  step.unansweredReports = 0;
+  step.nextReportAt = now + kReportInterval;
   for (const auto& [model, version] : report.models)
-    known_[engine][model] = std::max(known_[engine][model], version);
-  auto told = report.models.find(step.model);
-  bool reached = told != report.models.end() && told->second >= step.target;
+    knownVersions_[engine][model] = std::max(knownVersions_[engine][model], version);
+  auto reported = report.models.find(step.model);
+  bool reached = reported != report.models.end() && reported->second >= step.target;
   if (reached && !report.busy) return finish(engine, true, now);
-  if (report.busy || now - step.orderedAt < kReportsLag) return;
+  if (report.busy || now - step.orderSentAt < kReportDelay) return;
   if (step.inherited) return finish(engine, false, now);  // it is scheduled like the others
   // No load is in progress and nothing was loaded: the order failed or never arrived.
-  step.expectedCalls = report.callCount;
-  enter(step, Phase::kAnnounced, now);
+  step.expectedCallCount = report.callCount;
+  enterPhase(step, Phase::kAnnounced, now);
 }
 
 }  // namespace peppergate
--- a/src/engines/roster_text.cc
+++ b/src/engines/roster_text.cc
@@ -7,7 +7,7 @@
 namespace peppergate {
 namespace {
 
-Json entryJson(const Engine& engine) {
+Json encodeEntry(const Engine& engine) {
   Json models = Json::object();
   for (const auto& [model, version] : engine.models) models[model.value] = version.value;
   Json entry{{"id", engine.id.value},           {"service", engine.service.value},
@@ -18,7 +18,7 @@
   return entry;
 }
 
-Engine readEntry(const Json& entry) {
+Engine decodeEntry(const Json& entry) {
   Engine engine;
   engine.id = {entry.at("id").get<std::string>()};
   engine.service = {entry.at("service").get<std::string>()};
@@ -32,7 +32,7 @@
   return engine;
 }
 
-Json idsJson(const std::vector<EngineId>& ids) {
+Json encodeIds(const std::vector<EngineId>& ids) {
   Json array = Json::array();
   for (const auto& id : ids) array.push_back(id.value);
   return array;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-void orderById(std::vector<Engine>& engines) {
+void sortById(std::vector<Engine>& engines) {
   std::ranges::reverse(engines);  // so that the later of two comes first
   std::ranges::stable_sort(engines, {}, &Engine::id);
   auto sameId = [](const Engine& one, const Engine& other) { return one.id == other.id; };
@@ -59,51 +59,55 @@
   return std::ranges::equal(before, after, sameEntry);
 }
 
-std::string wholeText(const Roster& roster) {
+std::string encodeList(const DiscoveredEngines& list) {
   Json engines = Json::array();
-  for (const auto& engine : roster.engines) engines.push_back(entryJson(engine));
-  return Json{{"engines", std::move(engines)}, {"loading", idsJson(roster.loading)}}.dump();
+  for (const auto& engine : list.engines) engines.push_back(encodeEntry(engine));
+  return Json{{"engines", std::move(engines)}, {"loading", encodeIds(list.loading)}}.dump();
 }
 
-std::string changeText(ListVersion base, const Roster& before, const Roster& after) {
-  Json engines = Json::array(), gone = Json::array();
-  auto old = before.engines.begin();
+std::string encodeListDelta(ListVersion base, const DiscoveredEngines& before,
+                            const DiscoveredEngines& after) {
+  Json engines = Json::array(), removed = Json::array();
+  auto previous = before.engines.begin();
   for (const auto& engine : after.engines) {
-    for (; old != before.engines.end() && old->id < engine.id; ++old) gone.push_back(old->id.value);
-    bool listed = old != before.engines.end() && old->id == engine.id;
-    if (!listed || !sameEntry(*old, engine)) engines.push_back(entryJson(engine));
-    if (listed) ++old;
+    for (; previous != before.engines.end() && previous->id < engine.id; ++previous)
+      removed.push_back(previous->id.value);
+    bool listed = previous != before.engines.end() && previous->id == engine.id;
+    if (!listed || !sameEntry(*previous, engine)) engines.push_back(encodeEntry(engine));
+    if (listed) ++previous;
   }
-  for (; old != before.engines.end(); ++old) gone.push_back(old->id.value);
+  for (; previous != before.engines.end(); ++previous) removed.push_back(previous->id.value);
   return Json{{"base", base.value},
               {"engines", std::move(engines)},
-              {"gone", std::move(gone)},
-              {"loading", idsJson(after.loading)}}
+              {"gone", std::move(removed)},
+              {"loading", encodeIds(after.loading)}}
       .dump();
 }
 
-RosterRead readRoster(std::string_view text, ListVersion have, Roster& roster) {
+ListDecodeResult decodeList(std::string_view text, ListVersion heldVersion,
+                            DiscoveredEngines& list) {
   Json document = Json::parse(text, nullptr, false);
-  if (!document.is_object()) return RosterRead::kUnreadable;
+  if (!document.is_object()) return ListDecodeResult::kMalformed;
   try {
-    Roster read;
+    DiscoveredEngines decoded;
     if (auto base = document.find("base"); base != document.end()) {
-      if (base->get<std::uint64_t>() != have.value) return RosterRead::kOtherBase;
-      read.engines = roster.engines;
-      std::vector<EngineId> gone;
-      for (const auto& id : document.at("gone")) gone.push_back({id.get<std::string>()});
-      std::erase_if(read.engines, [&](const Engine& engine) {
-        return std::ranges::find(gone, engine.id) != gone.end();
+      if (base->get<std::uint64_t>() != heldVersion.value) return ListDecodeResult::kBaseMismatch;
+      decoded.engines = list.engines;
+      std::vector<EngineId> removed;
+      for (const auto& id : document.at("gone")) removed.push_back({id.get<std::string>()});
+      std::erase_if(decoded.engines, [&](const Engine& engine) {
+        return std::ranges::find(removed, engine.id) != removed.end();
       });
     }
-    for (const auto& entry : document.at("engines")) read.engines.push_back(readEntry(entry));
-    for (const auto& id : document.at("loading")) read.loading.push_back({id.get<std::string>()});
-    orderById(read.engines);
-    roster = std::move(read);
+    for (const auto& entry : document.at("engines")) decoded.engines.push_back(decodeEntry(entry));
+    for (const auto& id : document.at("loading"))
+      decoded.loading.push_back({id.get<std::string>()});
+    sortById(decoded.engines);
+    list = std::move(decoded);
   } catch (const Json::exception&) {
-    return RosterRead::kUnreadable;
+    return ListDecodeResult::kMalformed;
   }
-  return RosterRead::kTaken;
+  return ListDecodeResult::kApplied;
 }
 
 }  // namespace peppergate
--- a/src/engines/roster_text.h
+++ b/src/engines/roster_text.h
@@ -9,28 +9,30 @@
 namespace peppergate {
 
 /// The engines, ordered by id, and those of them that are loading weights.
-struct Roster {
+struct DiscoveredEngines {
   std::vector<Engine> engines;
   std::vector<EngineId> loading;
 };
 
 /// Sorts by id and removes duplicates, which occur when an engine moves between two pages of the
 /// platform's list; the later entry wins.
-void orderById(std::vector<Engine>& engines);
+void sortById(std::vector<Engine>& engines);
 
 /// Whether an engine's entry is unchanged. A warm-up time that only counted down is no change.
 bool sameEntry(const Engine& before, const Engine& after);
 bool sameEngines(const std::vector<Engine>& before, const std::vector<Engine>& after);
 
 /// Encodes the complete list. Example: `{"engines":[{"id":"e1",...}],"loading":["e2"]}`.
-std::string wholeText(const Roster& roster);
+std::string encodeList(const DiscoveredEngines& list);
 /// Encodes the delta to a version that others hold; both lists are ordered by id.
 /// Example: `{"base":17,"engines":[],"gone":["e1"],"loading":[]}`.
-std::string changeText(ListVersion base, const Roster& before, const Roster& after);
+std::string encodeListDelta(ListVersion base, const DiscoveredEngines& before,
+                            const DiscoveredEngines& after);
 
-enum class RosterRead : std::uint8_t { kTaken = 0, kOtherBase, kUnreadable };
+enum class ListDecodeResult : std::uint8_t { kApplied = 0, kBaseMismatch, kMalformed };
 /// Applies either encoding to a list that has the version `have`. The list is unchanged unless the
 /// result is kTaken.
-RosterRead readRoster(std::string_view text, ListVersion have, Roster& roster);
+ListDecodeResult decodeList(std::string_view text, ListVersion heldVersion,
+                            DiscoveredEngines& list);
 
 }  // namespace peppergate
--- a/src/engines/weight_namings.cc
+++ b/src/engines/weight_namings.cc
@@ -5,52 +5,53 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kMostNamings = 64;
+constexpr std::size_t kMaxTargetsPerModel = 64;
 
 }  // namespace
 
-void WeightNamings::note(const std::map<ModelName, WeightsVersion>& named, MonotonicTime since,
-                         MonotonicTime now) {
-  for (const auto& [model, version] : named) {
-    auto& namings = namings_[model];
-    if (!namings.empty() && namings.back().version >= version) continue;
-    MonotonicTime last = namings.empty() ? kNever : namings.back().since;
-    namings.push_back({version, std::max(last, since)});
-    forget(namings, now);
+void WeightTargetHistory::record(const std::map<ModelName, WeightsVersion>& targets,
+                                 MonotonicTime since, MonotonicTime now) {
+  for (const auto& [model, version] : targets) {
+    auto& history = targets_[model];
+    if (!history.empty() && history.back().version >= version) continue;
+    MonotonicTime last = history.empty() ? kNever : history.back().setAt;
+    history.push_back({version, std::max(last, since)});
+    dropExpired(history, now);
   }
 }
 
-void WeightNamings::forget(std::vector<Naming>& namings, MonotonicTime now) const {
+void WeightTargetHistory::dropExpired(std::vector<Target>& history, MonotonicTime now) const {
   // Of the expired targets only the newest is needed: whatever one of them makes outdated, it does.
-  while (namings.size() > 1 && now - namings[1].since >= keptFor_) namings.erase(namings.begin());
-  if (namings.size() <= kMostNamings) return;
+  while (history.size() > 1 && now - history[1].setAt >= retention_) history.erase(history.begin());
+  if (history.size() <= kMaxTargetsPerModel) return;
   // Merges the two oldest and keeps the earlier time, so that no engine's grace time grows.
-  namings[1].since = namings[0].since;
-  namings.erase(namings.begin());
+  history[1].setAt = history[0].setAt;
+  history.erase(history.begin());
 }
 
-MonotonicTime WeightNamings::outdatedSince(const ModelName& model, WeightsVersion version) const {
-  auto found = namings_.find(model);
-  if (found == namings_.end()) return kForever;
-  const auto& namings = found->second;
-  auto newer = std::ranges::upper_bound(namings, version, {}, &Naming::version);
-  return newer == namings.end() ? kForever : newer->since;
+MonotonicTime WeightTargetHistory::outdatedSince(const ModelName& model,
+                                                 WeightsVersion version) const {
+  auto found = targets_.find(model);
+  if (found == targets_.end()) return kForever;
+  const auto& history = found->second;
+  auto newer = std::ranges::upper_bound(history, version, {}, &Target::version);
+  return newer == history.end() ? kForever : newer->setAt;
 }
 
-void WeightNamings::postpone(Duration pause) {
-  for (auto& [model, namings] : namings_)
-    for (auto& naming : namings)
-      if (naming.since != kNever) naming.since = naming.since + pause;
+void WeightTargetHistory::postpone(Duration pause) {
+  for (auto& [model, history] : targets_)
+    for (auto& target : history)
+      if (target.setAt != kNever) target.setAt = target.setAt + pause;
 }
 
-void WeightNamings::restart(MonotonicTime moment) {
-  for (auto& [model, namings] : namings_)
-    for (auto& naming : namings) naming.since = std::max(naming.since, moment);
+void WeightTargetHistory::restartBefore(MonotonicTime moment) {
+  for (auto& [model, history] : targets_)
+    for (auto& target : history) target.setAt = std::max(target.setAt, moment);
 }
 
-std::size_t WeightNamings::kept(const ModelName& model) const {
-  auto found = namings_.find(model);
-  return found == namings_.end() ? 0 : found->second.size();
+std::size_t WeightTargetHistory::retainedCount(const ModelName& model) const {
+  auto found = targets_.find(model);
+  return found == targets_.end() ? 0 : found->second.size();
 }
 
 }  // namespace peppergate
--- a/src/history/assigned_versions.cc
+++ b/src/history/assigned_versions.cc
@@ -7,120 +7,124 @@
 namespace {
 
 /// One change with all its attempts.
-struct Order {
+struct AssignedChange {
   std::string id;
   std::optional<Version> base, version;
-  Microseconds start = kNoEnd;  // of its first attempt
-  Microseconds end = kNoEnd;    // of its first acknowledgement
+  Microseconds firstStart = kNoEnd;      // of its first attempt
+  Microseconds acknowledgedAt = kNoEnd;  // of its first acknowledgement
   Microseconds lastRefusedStart = INT64_MIN;
 };
 
-class AssignedChecker {
+class AssignedVersionsChecker {
  public:
-  explicit AssignedChecker(const std::vector<OperatorCall>& calls) : calls_(calls) {}
+  explicit AssignedVersionsChecker(const std::vector<OperatorCall>& calls) : calls_(calls) {}
 
-  Verdict check() {
+  Violations check() {
     for (const auto& call : calls_)
-      if (call.kind == CallKind::kChange) takeChange(call);
+      if (call.kind == CallKind::kChange) addChange(call);
     collectAcknowledged();
-    checkOneOrderEach();
-    checkTimes();
+    checkVersionsAreUnique();
+    checkVersionOrder();
     checkBases();
     for (const auto& call : calls_)
-      if (call.kind == CallKind::kRead && call.outcome == Outcome::kDone) checkRead(call);
-    return std::move(verdict_);
+      if (call.kind == CallKind::kRead && call.outcome == CallOutcome::kDone) checkRead(call);
+    return std::move(violations_);
   }
 
  private:
-  void fail(ViolationKind kind, std::string detail) {
-    verdict_.push_back({kind, {}, std::move(detail)});
+  void addViolation(ViolationKind kind, std::string detail) {
+    violations_.push_back({kind, {}, std::move(detail)});
   }
 
-  void takeChange(const OperatorCall& call) {
-    Order& order = orders_[call.order];
-    order.id = call.order;
-    if (call.outcome == Outcome::kRefused) {
-      order.lastRefusedStart = std::max(order.lastRefusedStart, call.start);
+  void addChange(const OperatorCall& call) {
+    AssignedChange& change = changes_[call.changeKey];
+    change.id = call.changeKey;
+    if (call.outcome == CallOutcome::kRefused) {
+      change.lastRefusedStart = std::max(change.lastRefusedStart, call.start);
       return;
     }
-    order.start = std::min(order.start, call.start);
-    if (call.outcome != Outcome::kDone) return;
-    if (!call.proper) fail(ViolationKind::kImproperAcknowledged, call.order);
-    if (order.version && *order.version != *call.version)
-      fail(ViolationKind::kTwoContents, "change " + call.order + " was assigned " +
-                                            versionText(*order.version) + " and " +
-                                            versionText(*call.version));
-    order.base = call.base;
-    order.version = call.version;
-    order.end = std::min(order.end, call.end);
+    change.firstStart = std::min(change.firstStart, call.start);
+    if (call.outcome != CallOutcome::kDone) return;
+    if (!call.valid) addViolation(ViolationKind::kInvalidAcknowledged, call.changeKey);
+    if (change.version && *change.version != *call.version)
+      addViolation(ViolationKind::kTwoContents, "change " + call.changeKey + " was assigned " +
+                                                    versionText(*change.version) + " and " +
+                                                    versionText(*call.version));
+    change.base = call.base;
+    change.version = call.version;
+    change.acknowledgedAt = std::min(change.acknowledgedAt, call.end);
   }
 
   void collectAcknowledged() {
-    for (const auto& [id, order] : orders_) {
-      if (!order.version) continue;
-      acknowledged_.push_back(order);
-      if (order.lastRefusedStart > order.end)
-        fail(ViolationKind::kRefusedRepeat,
-             "change " + id + " was refused after its acknowledgement");
+    for (const auto& [id, change] : changes_) {
+      if (!change.version) continue;
+      acknowledged_.push_back(change);
+      if (change.lastRefusedStart > change.acknowledgedAt)
+        addViolation(ViolationKind::kRefusedAfterApplied,
+                     "change " + id + " was refused after its acknowledgement");
     }
-    std::ranges::sort(acknowledged_, {}, [](const Order& order) { return *order.version; });
+    std::ranges::sort(acknowledged_, {},
+                      [](const AssignedChange& change) { return *change.version; });
   }
 
-  void checkOneOrderEach() {
+  void checkVersionsAreUnique() {
     for (std::size_t index = 1; index < acknowledged_.size(); ++index) {
-      const Order& one = acknowledged_[index - 1];
-      const Order& other = acknowledged_[index];
-      if (*one.version == *other.version)
-        fail(ViolationKind::kTwoContents, "version " + versionText(*one.version) +
-                                              " was assigned to " + one.id + " and " + other.id);
+      const AssignedChange& previous = acknowledged_[index - 1];
+      const AssignedChange& next = acknowledged_[index];
+      if (*previous.version == *next.version)
+        addViolation(ViolationKind::kTwoContents, "version " + versionText(*previous.version) +
+                                                      " was assigned to " + previous.id + " and " +
+                                                      next.id);
     }
   }
 
-  void checkTimes() {
+  void checkVersionOrder() {
     Microseconds latestStart = INT64_MIN;
-    for (const auto& order : acknowledged_) {
-      latestStart = std::max(latestStart, order.start);
-      if (order.end < latestStart)
-        fail(ViolationKind::kOrder, "change " + order.id + " ended with version " +
-                                        versionText(*order.version) +
-                                        " before a change with a lower version began");
+    for (const auto& change : acknowledged_) {
+      latestStart = std::max(latestStart, change.firstStart);
+      if (change.acknowledgedAt < latestStart)
+        addViolation(ViolationKind::kVersionOrder,
+                     "change " + change.id + " ended with version " + versionText(*change.version) +
+                         " before a change with a lower version began");
     }
   }
 
   void checkBases() {
     for (std::size_t index = 1; index < acknowledged_.size(); ++index) {
-      const Order& order = acknowledged_[index];
-      if (!order.base || *order.base >= *acknowledged_[index - 1].version) continue;
-      fail(ViolationKind::kTwoOnOneBase,
-           "change " + order.id + " is based on " + versionText(*order.base) + ", after " +
-               versionText(*acknowledged_[index - 1].version) + " was created");
+      const AssignedChange& change = acknowledged_[index];
+      if (!change.base || *change.base >= *acknowledged_[index - 1].version) continue;
+      addViolation(ViolationKind::kTwoChangesOnOneBase,
+                   "change " + change.id + " is based on " + versionText(*change.base) +
+                       ", after " + versionText(*acknowledged_[index - 1].version) +
+                       " was created");
     }
   }
 
   void checkRead(const OperatorCall& read) {
-    for (const auto& order : acknowledged_) {
-      if (*order.version > *read.version && order.end < read.start) {
-        const auto kind = read.final ? ViolationKind::kLostChange : ViolationKind::kStaleRead;
-        fail(kind, "version " + versionText(*read.version) + " was read after " +
-                       versionText(*order.version) + " had been acknowledged");
+    for (const auto& change : acknowledged_) {
+      if (*change.version > *read.version && change.acknowledgedAt < read.start) {
+        const auto kind = read.finalRead ? ViolationKind::kLostChange : ViolationKind::kStaleRead;
+        addViolation(kind, "version " + versionText(*read.version) + " was read after " +
+                               versionText(*change.version) + " had been acknowledged");
         return;
       }
-      if (*order.version == *read.version && order.start > read.end)
-        fail(ViolationKind::kUnknownContents,
-             "version " + versionText(*read.version) + " was read before its change was requested");
+      if (*change.version == *read.version && change.firstStart > read.end)
+        addViolation(
+            ViolationKind::kUnknownContents,
+            "version " + versionText(*read.version) + " was read before its change was requested");
     }
   }
 
   const std::vector<OperatorCall>& calls_;
-  std::map<std::string, Order> orders_;
-  std::vector<Order> acknowledged_;  // sorted by version
-  Verdict verdict_;
+  std::map<std::string, AssignedChange> changes_;
+  std::vector<AssignedChange> acknowledged_;  // sorted by version
+  Violations violations_;
 };
 
 }  // namespace
 
-Verdict checkAssignedVersions(const std::vector<OperatorCall>& calls) {
-  return AssignedChecker(calls).check();
+Violations checkAssignedVersions(const std::vector<OperatorCall>& calls) {
+  return AssignedVersionsChecker(calls).check();
 }
 
 }  // namespace peppergate::history
--- a/src/history/assigned_versions.h
+++ b/src/history/assigned_versions.h
@@ -13,6 +13,6 @@
 namespace peppergate::history {
 
 /// Checks the calls of one register.
-Verdict checkAssignedVersions(const std::vector<OperatorCall>& calls);
+Violations checkAssignedVersions(const std::vector<OperatorCall>& calls);
 
 }  // namespace peppergate::history
--- a/src/history/chain_orders.cc
+++ b/src/history/chain_orders.cc
@@ -7,186 +7,192 @@
 namespace peppergate::history {
 namespace {
 
-class Collector {
+class EvidenceCollector {
  public:
-  Collector() { candidates_[Contents{}]; }
+  EvidenceCollector() { candidates_[Contents{}]; }
 
-  ChainOrders collect(const std::vector<OperatorCall>& calls) {
+  ChainEvidence collect(const std::vector<OperatorCall>& calls) {
     for (const auto& call : calls)
-      if (call.kind == CallKind::kChange) takeChange(call);
+      if (call.kind == CallKind::kChange) addChange(call);
     for (const auto& call : calls)
-      if (call.kind == CallKind::kRead && call.outcome == Outcome::kDone) takeRead(call);
+      if (call.kind == CallKind::kRead && call.outcome == CallOutcome::kDone) addRead(call);
     for (auto& [contents, candidate] : candidates_) {
       candidate.contents = contents;
-      orders_.candidates.push_back(std::move(candidate));
+      evidence_.candidates.push_back(std::move(candidate));
     }
-    return std::move(orders_);
+    return std::move(evidence_);
   }
 
  private:
-  void fail(ViolationKind kind, std::string detail) {
-    orders_.impossible.push_back({kind, {}, std::move(detail)});
+  void addViolation(ViolationKind kind, std::string detail) {
+    evidence_.violations.push_back({kind, {}, std::move(detail)});
   }
 
-  void takeChange(const OperatorCall& call) {
+  void addChange(const OperatorCall& call) {
     const Contents contents{*call.version, call.digest};
-    const bool proper = call.proper && *call.version > *call.base;
-    if (!proper) {
-      improper_.insert(contents);
-      if (call.outcome == Outcome::kDone)
-        fail(ViolationKind::kImproperAcknowledged,
-             "change " + call.order + " is invalid but was acknowledged");
+    const bool valid = call.valid && *call.version > *call.base;
+    if (!valid) {
+      invalid_.insert(contents);
+      if (call.outcome == CallOutcome::kDone)
+        addViolation(ViolationKind::kInvalidAcknowledged,
+                     "change " + call.changeKey + " is invalid but was acknowledged");
       return;
     }
-    if (call.outcome == Outcome::kRefused) {
+    if (call.outcome == CallOutcome::kRefused) {
       refused_.insert(contents);
-      orders_.refusals.push_back({contents, *call.base, call.start, call.end, call.order});
+      evidence_.refusals.push_back({contents, *call.base, call.start, call.end, call.changeKey});
       return;
     }
     Candidate& candidate = candidates_[contents];
-    ChainLink& link = linkOf(candidate, call);
-    link.earliest = std::min(link.earliest, call.start);
-    if (call.outcome != Outcome::kDone) return;
-    candidate.needed = true;
+    ChainLink& link = findOrAddLink(candidate, call);
+    link.earliestStart = std::min(link.earliestStart, call.start);
+    if (call.outcome != CallOutcome::kDone) return;
+    candidate.required = true;
     candidate.acknowledged = true;
-    candidate.latest = std::min(candidate.latest, call.end);
+    candidate.inForceBy = std::min(candidate.inForceBy, call.end);
   }
 
-  ChainLink& linkOf(Candidate& candidate, const OperatorCall& call) {
+  ChainLink& findOrAddLink(Candidate& candidate, const OperatorCall& call) {
     auto found = std::ranges::find(candidate.links, *call.base, &ChainLink::base);
     if (found != candidate.links.end()) return *found;
-    return candidate.links.emplace_back(ChainLink{*call.base, kNoEnd, call.order});
+    return candidate.links.emplace_back(ChainLink{*call.base, kNoEnd, call.changeKey});
   }
 
-  void takeRead(const OperatorCall& read) {
-    orders_.reads.push_back(read);
+  void addRead(const OperatorCall& read) {
+    evidence_.reads.push_back(read);
     Contents contents{*read.version, read.digest};
     if (contents.version == Version{}) contents.digest.clear();
     auto found = candidates_.find(contents);
     if (found == candidates_.end()) {
-      failRead(contents);
+      addReadViolation(contents);
       return;
     }
     Candidate& candidate = found->second;
-    candidate.needed = true;
-    candidate.latest = std::min(candidate.latest, read.end);
-    candidate.readFrom = std::max(candidate.readFrom, read.start);
+    candidate.required = true;
+    candidate.inForceBy = std::min(candidate.inForceBy, read.end);
+    candidate.latestReadStart = std::max(candidate.latestReadStart, read.start);
   }
 
-  void failRead(const Contents& contents) {
+  void addReadViolation(const Contents& contents) {
     const std::string version = "version " + versionText(contents.version);
     if (refused_.contains(contents))
-      fail(ViolationKind::kRefusedContents,
-           version + " was read although every attempt was refused");
-    else if (improper_.contains(contents))
-      fail(ViolationKind::kImproperAcknowledged, version + " was read although it is invalid");
-    else if (numberWasSent(contents.version))
-      fail(ViolationKind::kTwoContents, version + " was read with contents that were not sent");
-    else fail(ViolationKind::kUnknownContents, version + " was read but no operator sent it");
-  }
-
-  bool numberWasSent(const Version& version) const {
+      addViolation(ViolationKind::kRefusedContents,
+                   version + " was read although every attempt was refused");
+    else if (invalid_.contains(contents))
+      addViolation(ViolationKind::kInvalidAcknowledged,
+                   version + " was read although it is invalid");
+    else if (versionWasSent(contents.version))
+      addViolation(ViolationKind::kTwoContents,
+                   version + " was read with contents that were not sent");
+    else
+      addViolation(ViolationKind::kUnknownContents, version + " was read but no operator sent it");
+  }
+
+  bool versionWasSent(const Version& version) const {
     return std::ranges::any_of(candidates_,
                                [&](const auto& entry) { return entry.first.version == version; });
   }
 
   std::map<Contents, Candidate> candidates_;
-  std::set<Contents> improper_, refused_;
-  ChainOrders orders_;
+  std::set<Contents> invalid_, refused_;
+  ChainEvidence evidence_;
 };
 
-class Explainer {
+class ViolationExplainer {
  public:
-  explicit Explainer(const ChainOrders& orders) : orders_(orders) {}
+  explicit ViolationExplainer(const ChainEvidence& evidence) : evidence_(evidence) {}
 
-  Verdict explain() {
-    explainPairs();
-    for (const auto& refusal : orders_.refusals) explainRefusal(refusal);
-    for (const auto& read : orders_.reads) explainRead(read);
-    return std::move(verdict_);
+  Violations explain() {
+    explainConflicts();
+    for (const auto& refusal : evidence_.refusals) explainRefusal(refusal);
+    for (const auto& read : evidence_.reads) explainRead(read);
+    return std::move(violations_);
   }
 
  private:
-  void fail(ViolationKind kind, std::string detail) {
-    verdict_.push_back({kind, {}, std::move(detail)});
+  void addViolation(ViolationKind kind, std::string detail) {
+    violations_.push_back({kind, {}, std::move(detail)});
   }
 
-  static bool onOneBase(const Candidate& one, const Candidate& other) {
+  static bool haveSameBase(const Candidate& one, const Candidate& other) {
     return one.links.size() == 1 && other.links.size() == 1 &&
            one.links[0].base == other.links[0].base;
   }
 
-  void explainPairs() {
+  void explainConflicts() {
     std::map<Version, const Candidate*> byVersion, byBase;
-    for (const auto& candidate : orders_.candidates) {
-      if (!candidate.needed || candidate.links.empty()) continue;
-      auto [same, first] = byVersion.try_emplace(candidate.contents.version, &candidate);
-      if (!first)
-        fail(ViolationKind::kTwoContents,
-             "version " + versionText(candidate.contents.version) + " has two contents");
-      auto [base, firstOn] = byBase.try_emplace(candidate.links[0].base, &candidate);
-      if (!firstOn && onOneBase(*base->second, candidate))
-        fail(ViolationKind::kTwoOnOneBase,
-             "versions " + versionText(base->second->contents.version) + " and " +
-                 versionText(candidate.contents.version) + " both took effect on " +
-                 versionText(candidate.links[0].base));
+    for (const auto& candidate : evidence_.candidates) {
+      if (!candidate.required || candidate.links.empty()) continue;
+      auto [same, isFirstOfVersion] = byVersion.try_emplace(candidate.contents.version, &candidate);
+      if (!isFirstOfVersion)
+        addViolation(ViolationKind::kTwoContents,
+                     "version " + versionText(candidate.contents.version) + " has two contents");
+      auto [base, isFirstOnBase] = byBase.try_emplace(candidate.links[0].base, &candidate);
+      if (!isFirstOnBase && haveSameBase(*base->second, candidate))
+        addViolation(ViolationKind::kTwoChangesOnOneBase,
+                     "versions " + versionText(base->second->contents.version) + " and " +
+                         versionText(candidate.contents.version) + " both took effect on " +
+                         versionText(candidate.links[0].base));
     }
   }
 
-  const Candidate* knownAs(const Contents& contents) const {
-    auto found = std::ranges::find(orders_.candidates, contents, &Candidate::contents);
-    return found == orders_.candidates.end() ? nullptr : &*found;
+  const Candidate* findCandidate(const Contents& contents) const {
+    auto found = std::ranges::find(evidence_.candidates, contents, &Candidate::contents);
+    return found == evidence_.candidates.end() ? nullptr : &*found;
   }
 
-  bool othersMayFollow(const Refusal& refusal) const {
-    return std::ranges::any_of(orders_.candidates, [&](const Candidate& candidate) {
+  bool otherChangeMayFollow(const Refusal& refusal) const {
+    return std::ranges::any_of(evidence_.candidates, [&](const Candidate& candidate) {
       return std::ranges::any_of(candidate.links, [&](const ChainLink& link) {
-        return link.base == refusal.base && link.earliest <= refusal.end;
+        return link.base == refusal.base && link.earliestStart <= refusal.end;
       });
     });
   }
 
   bool baseWasInForce(const Refusal& refusal) const {
     if (refusal.base == Version{}) return true;
-    return std::ranges::any_of(orders_.candidates, [&](const Candidate& candidate) {
-      return candidate.contents.version == refusal.base && candidate.latest < refusal.start;
+    return std::ranges::any_of(evidence_.candidates, [&](const Candidate& candidate) {
+      return candidate.contents.version == refusal.base && candidate.inForceBy < refusal.start;
     });
   }
 
   void explainRefusal(const Refusal& refusal) {
-    const Candidate* taken = knownAs(refusal.contents);
+    const Candidate* applied = findCandidate(refusal.contents);
     const bool sameBase =
-        taken != nullptr &&
-        std::ranges::find(taken->links, refusal.base, &ChainLink::base) != taken->links.end();
-    if (sameBase && taken->needed && taken->latest < refusal.start)
-      fail(ViolationKind::kRefusedRepeat,
-           "change " + refusal.order + " took effect and was refused later");
-    else if (baseWasInForce(refusal) && !othersMayFollow(refusal))
-      fail(ViolationKind::kRefusedOnNewest,
-           "change " + refusal.order + " was refused although it is based on the newest version");
+        applied != nullptr &&
+        std::ranges::find(applied->links, refusal.base, &ChainLink::base) != applied->links.end();
+    if (sameBase && applied->required && applied->inForceBy < refusal.start)
+      addViolation(ViolationKind::kRefusedAfterApplied,
+                   "change " + refusal.changeKey + " took effect and was refused later");
+    else if (baseWasInForce(refusal) && !otherChangeMayFollow(refusal))
+      addViolation(ViolationKind::kRefusedOnNewest,
+                   "change " + refusal.changeKey +
+                       " was refused although it is based on the newest version");
   }
 
   void explainRead(const OperatorCall& read) {
-    for (const auto& candidate : orders_.candidates) {
+    for (const auto& candidate : evidence_.candidates) {
       const bool newer = candidate.contents.version > *read.version;
-      if (!newer || !candidate.needed || candidate.latest >= read.start) continue;
-      fail(read.final ? ViolationKind::kLostChange : ViolationKind::kStaleRead,
-           "version " + versionText(*read.version) + " was read after " +
-               versionText(candidate.contents.version) + " was acknowledged or read");
+      if (!newer || !candidate.required || candidate.inForceBy >= read.start) continue;
+      addViolation(read.finalRead ? ViolationKind::kLostChange : ViolationKind::kStaleRead,
+                   "version " + versionText(*read.version) + " was read after " +
+                       versionText(candidate.contents.version) + " was acknowledged or read");
       return;
     }
   }
 
-  const ChainOrders& orders_;
-  Verdict verdict_;
+  const ChainEvidence& evidence_;
+  Violations violations_;
 };
 
 }  // namespace
 
-ChainOrders collectChainOrders(const std::vector<OperatorCall>& calls) {
-  return Collector().collect(calls);
+ChainEvidence collectChainEvidence(const std::vector<OperatorCall>& calls) {
+  return EvidenceCollector().collect(calls);
 }
 
-Verdict explainChain(const ChainOrders& orders) { return Explainer(orders).explain(); }
+Violations explainViolations(const ChainEvidence& evidence) {
+  return ViolationExplainer(evidence).explain();
+}
 
 }  // namespace peppergate::history
--- a/src/history/check_history.h
+++ b/src/history/check_history.h
@@ -8,6 +8,6 @@
 namespace peppergate::history {
 
 /// Checks all registers of a history. Registers share no state, so each is checked on its own.
-Verdict checkHistory(const std::vector<OperatorCall>& calls);
+Violations checkHistory(const std::vector<OperatorCall>& calls);
 
 }  // namespace peppergate::history
--- a/src/history/history.cc
+++ b/src/history/history.cc
@@ -10,19 +10,20 @@
 
 using Json = nlohmann::json;
 
-struct KindRow {
+struct CallKindRow {
   std::string_view name;
   CallKind kind;
 };
-constexpr std::array kKinds{KindRow{"change", CallKind::kChange}, KindRow{"read", CallKind::kRead}};
+constexpr std::array kCallKindRows{CallKindRow{"change", CallKind::kChange},
+                                   CallKindRow{"read", CallKind::kRead}};
 
 struct OutcomeRow {
   std::string_view name;
-  Outcome outcome;
+  CallOutcome outcome;
 };
-constexpr std::array kOutcomes{OutcomeRow{"done", Outcome::kDone},
-                               OutcomeRow{"refused", Outcome::kRefused},
-                               OutcomeRow{"unknown", Outcome::kUnknown}};
+constexpr std::array kOutcomeRows{OutcomeRow{"done", CallOutcome::kDone},
+                                  OutcomeRow{"refused", CallOutcome::kRefused},
+                                  OutcomeRow{"unknown", CallOutcome::kUnknown}};
 
 /// Thrown within this file only; `readHistory` converts it to a ReadError.
 struct FieldError {
@@ -30,19 +31,19 @@
   std::string detail;
 };
 
-std::string textField(const Json& object, const char* field, bool needed) {
+std::string textField(const Json& object, const char* field, bool required) {
   auto found = object.find(field);
   if (found == object.end()) {
-    if (needed) throw FieldError{field, "is missing"};
+    if (required) throw FieldError{field, "is missing"};
     return {};
   }
   if (!found->is_string()) throw FieldError{field, "must be a string"};
   return found->get<std::string>();
 }
 
-bool flagField(const Json& object, const char* field, bool absent) {
+bool flagField(const Json& object, const char* field, bool defaultValue) {
   auto found = object.find(field);
-  if (found == object.end()) return absent;
+  if (found == object.end()) return defaultValue;
   if (!found->is_boolean()) throw FieldError{field, "must be true or false"};
   return found->get<bool>();
 }
@@ -66,22 +67,22 @@
 
 CallKind kindField(const Json& object) {
   const std::string name = textField(object, "call", true);
-  for (const auto& row : kKinds)
+  for (const auto& row : kCallKindRows)
     if (row.name == name) return row.kind;
   throw FieldError{"call", "must be change or read"};
 }
 
-Outcome outcomeField(const Json& object) {
+CallOutcome outcomeField(const Json& object) {
   const std::string name = textField(object, "outcome", true);
-  for (const auto& row : kOutcomes)
+  for (const auto& row : kOutcomeRows)
     if (row.name == name) return row.outcome;
   throw FieldError{"outcome", "must be done, refused or unknown"};
 }
 
 void checkChange(const OperatorCall& call) {
-  if (call.order.empty()) throw FieldError{"order", "is required for a change"};
-  if (call.assigned) {
-    if (call.outcome == Outcome::kDone && !call.version)
+  if (call.changeKey.empty()) throw FieldError{"order", "is required for a change"};
+  if (call.versionIsAssigned) {
+    if (call.outcome == CallOutcome::kDone && !call.version)
       throw FieldError{"version", "is required for an acknowledged change"};
     return;
   }
@@ -90,34 +91,35 @@
 }
 
 void checkRead(const OperatorCall& call) {
-  if (call.outcome == Outcome::kRefused) throw FieldError{"outcome", "a read cannot be refused"};
-  if (call.outcome == Outcome::kDone && !call.version)
+  if (call.outcome == CallOutcome::kRefused)
+    throw FieldError{"outcome", "a read cannot be refused"};
+  if (call.outcome == CallOutcome::kDone && !call.version)
     throw FieldError{"version", "is required for an answered read"};
 }
 
-OperatorCall readCall(const Json& object) {
+OperatorCall parseCall(const Json& object) {
   OperatorCall call;
   call.registerName = textField(object, "register", true);
   call.operatorName = textField(object, "operator", true);
   call.machine = textField(object, "machine", false);
-  call.order = textField(object, "order", false);
+  call.changeKey = textField(object, "order", false);
   call.kind = kindField(object);
   call.outcome = outcomeField(object);
   auto start = timeField(object, "start");
   if (!start) throw FieldError{"start", "is missing"};
   call.start = *start;
   auto end = timeField(object, "end");
-  if (!end && call.outcome != Outcome::kUnknown)
+  if (!end && call.outcome != CallOutcome::kUnknown)
     throw FieldError{"end", "is required for an answered call"};
   if (end && *end < call.start) throw FieldError{"end", "is before the start"};
   // A call of unknown outcome may still take effect after its caller gave up, so it has no end.
-  if (end && call.outcome != Outcome::kUnknown) call.end = *end;
+  if (end && call.outcome != CallOutcome::kUnknown) call.end = *end;
   call.base = versionField(object, "base");
   call.version = versionField(object, "version");
   call.digest = textField(object, "digest", false);
-  call.assigned = flagField(object, "assigned", false);
-  call.proper = flagField(object, "proper", true);
-  call.final = flagField(object, "final", false);
+  call.versionIsAssigned = flagField(object, "assigned", false);
+  call.valid = flagField(object, "proper", true);
+  call.finalRead = flagField(object, "final", false);
   if (call.kind == CallKind::kChange) checkChange(call);
   else checkRead(call);
   return call;
@@ -128,11 +130,11 @@
   return versionText(version);
 }
 
-std::optional<std::uint64_t> wholeNumber(std::string_view text) {
+std::optional<std::uint64_t> parseUnsigned(std::string_view text) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
-  auto [stopped, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc{} || stopped != end || text.empty()) return std::nullopt;
+  auto [parsedEnd, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc{} || parsedEnd != end || text.empty()) return std::nullopt;
   return number;
 }
 
@@ -146,8 +148,9 @@
 std::optional<Version> parseVersion(std::string_view text) {
   const auto dot = text.find('.');
   const bool hasEpoch = dot != std::string_view::npos;
-  const auto epoch = hasEpoch ? wholeNumber(text.substr(0, dot)) : std::optional<std::uint64_t>(0);
-  const auto number = wholeNumber(hasEpoch ? text.substr(dot + 1) : text);
+  const auto epoch =
+      hasEpoch ? parseUnsigned(text.substr(0, dot)) : std::optional<std::uint64_t>(0);
+  const auto number = parseUnsigned(hasEpoch ? text.substr(dot + 1) : text);
   if (!epoch || !number) return std::nullopt;
   return Version{*epoch, *number};
 }
@@ -164,9 +167,9 @@
     const Json object = Json::parse(content, nullptr, false);
     if (!object.is_object()) return ReadError{line, "<root>", "is not a JSON object"};
     try {
-      calls.push_back(readCall(object));
-    } catch (const FieldError& wrong) {
-      return ReadError{line, wrong.field, wrong.detail};
+      calls.push_back(parseCall(object));
+    } catch (const FieldError& error) {
+      return ReadError{line, error.field, error.detail};
     }
   }
   return calls;
@@ -175,18 +178,18 @@
 std::string writeCall(const OperatorCall& call) {
   Json object{{"register", call.registerName},
               {"operator", call.operatorName},
-              {"call", kKinds.at(static_cast<std::size_t>(call.kind)).name},
-              {"outcome", kOutcomes.at(static_cast<std::size_t>(call.outcome)).name},
+              {"call", kCallKindRows.at(static_cast<std::size_t>(call.kind)).name},
+              {"outcome", kOutcomeRows.at(static_cast<std::size_t>(call.outcome)).name},
               {"start", call.start}};
   if (call.end != kNoEnd) object["end"] = call.end;
   if (!call.machine.empty()) object["machine"] = call.machine;
-  if (!call.order.empty()) object["order"] = call.order;
+  if (!call.changeKey.empty()) object["order"] = call.changeKey;
   if (call.base) object["base"] = versionJson(*call.base);
   if (call.version) object["version"] = versionJson(*call.version);
   if (!call.digest.empty()) object["digest"] = call.digest;
-  if (call.assigned) object["assigned"] = true;
-  if (!call.proper) object["proper"] = false;
-  if (call.final) object["final"] = true;
+  if (call.versionIsAssigned) object["assigned"] = true;
+  if (!call.valid) object["proper"] = false;
+  if (call.finalRead) object["final"] = true;
   return object.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/src/history/history.h
+++ b/src/history/history.h
@@ -33,7 +33,7 @@
 
 enum class CallKind : std::uint8_t { kChange, kRead };
 
-enum class Outcome : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
   kDone,     // a change was acknowledged, or a read was answered
   kRefused,  // a change was finally refused
   kUnknown,  // no answer, or one that leaves the outcome open
@@ -44,18 +44,18 @@
 struct OperatorCall {
   std::string registerName;  // registers are independent of each other
   std::string operatorName;
-  std::string machine;  // that it was sent to
-  std::string order;    // id of a change, the same for every attempt
+  std::string machine;    // that it was sent to
+  std::string changeKey;  // id of a change, the same for every attempt
   CallKind kind = CallKind::kChange;
-  Outcome outcome = Outcome::kUnknown;
+  CallOutcome outcome = CallOutcome::kUnknown;
   Microseconds start = 0;
   Microseconds end = kNoEnd;       // kNoEnd if the outcome is unknown
   std::optional<Version> base;     // of a change: the version it is based on; none: any
   std::optional<Version> version;  // of a change: the one it creates; of a read: as returned
   std::string digest;              // of the contents that a change creates or a read returned
-  bool assigned = false;           // the system assigns the version; known from the acknowledgement
-  bool proper = true;              // a valid change; an invalid one must be refused
-  bool final = false;              // a read of the final state at the end of the run
+  bool versionIsAssigned = false;  // the system assigns the version; known from the acknowledgement
+  bool valid = true;               // a valid change; an invalid one must be refused
+  bool finalRead = false;          // a read of the final state at the end of the run
 };
 
 /// Why a line of a history cannot be parsed. The field is "<root>" if the line is not a JSON
--- a/src/history/history_recorder.cc
+++ b/src/history/history_recorder.cc
@@ -6,30 +6,32 @@
 
 namespace peppergate::history {
 
-CallNumber HistoryRecorder::begin(OperatorCall call) {
-  call.outcome = Outcome::kUnknown;
+CallIndex HistoryRecorder::begin(OperatorCall call) {
+  call.outcome = CallOutcome::kUnknown;
   call.end = kNoEnd;
   calls_.push_back(std::move(call));
   return {calls_.size() - 1};
 }
 
-OperatorCall& HistoryRecorder::ended(CallNumber number, Outcome outcome, Microseconds at) {
-  OperatorCall& call = calls_.at(number.value);
+OperatorCall& HistoryRecorder::setOutcome(CallIndex index, CallOutcome outcome,
+                                          Microseconds endedAt) {
+  OperatorCall& call = calls_.at(index.value);
   call.outcome = outcome;
-  call.end = at;
+  call.end = endedAt;
   return call;
 }
 
-void HistoryRecorder::end(CallNumber number, Outcome outcome, Microseconds at) {
-  ended(number, outcome, at);
+void HistoryRecorder::endChange(CallIndex index, CallOutcome outcome, Microseconds endedAt) {
+  setOutcome(index, outcome, endedAt);
 }
 
-void HistoryRecorder::endAssigned(CallNumber number, const Version& version, Microseconds at) {
-  ended(number, Outcome::kDone, at).version = version;
+void HistoryRecorder::endAssignedChange(CallIndex index, const Version& version,
+                                        Microseconds endedAt) {
+  setOutcome(index, CallOutcome::kDone, endedAt).version = version;
 }
 
-void HistoryRecorder::endRead(CallNumber number, const Contents& contents, Microseconds at) {
-  OperatorCall& call = ended(number, Outcome::kDone, at);
+void HistoryRecorder::endRead(CallIndex index, const Contents& contents, Microseconds endedAt) {
+  OperatorCall& call = setOutcome(index, CallOutcome::kDone, endedAt);
   call.version = contents.version;
   call.digest = contents.digest;
 }
@@ -45,10 +47,10 @@
     return one.value("name", "") < other.value("name", "");
   };
   for (auto& list : configuration) {
-    const bool named = list.is_array() && std::ranges::all_of(list, [](const auto& item) {
-                         return item.is_object() && item.contains("name");
-                       });
-    if (named) std::sort(list.begin(), list.end(), byName);
+    const bool allNamed = list.is_array() && std::ranges::all_of(list, [](const auto& item) {
+                            return item.is_object() && item.contains("name");
+                          });
+    if (allNamed) std::sort(list.begin(), list.end(), byName);
   }
   return digestText(configuration.dump());
 }
--- a/src/history/history_recorder.h
+++ b/src/history/history_recorder.h
@@ -9,7 +9,7 @@
 namespace peppergate::history {
 
 /// The index of a call in its recorder.
-struct CallNumber {
+struct CallIndex {
   std::size_t value = 0;
 };
 
@@ -18,19 +18,19 @@
  public:
   /// Records a call when it is sent; its outcome is unknown until one of the `end` functions sets
   /// it.
-  CallNumber begin(OperatorCall call);
+  CallIndex begin(OperatorCall call);
   /// Records the outcome of a change that was acknowledged or refused.
-  void end(CallNumber number, Outcome outcome, Microseconds at);
+  void endChange(CallIndex index, CallOutcome outcome, Microseconds endedAt);
   /// Records an acknowledgement that names the version which the system assigned.
-  void endAssigned(CallNumber number, const Version& version, Microseconds at);
+  void endAssignedChange(CallIndex index, const Version& version, Microseconds endedAt);
   /// Records what a read returned.
-  void endRead(CallNumber number, const Contents& contents, Microseconds at);
+  void endRead(CallIndex index, const Contents& contents, Microseconds endedAt);
   const std::vector<OperatorCall>& calls() const { return calls_; }
   /// All calls as JSON lines, for `peppergate check-history`.
   std::string text() const;
 
  private:
-  OperatorCall& ended(CallNumber number, Outcome outcome, Microseconds at);
+  OperatorCall& setOutcome(CallIndex index, CallOutcome outcome, Microseconds endedAt);
 
   std::vector<OperatorCall> calls_;
 };
