--- a/src/history/verdict.h
+++ b/src/history/verdict.h
@@ -9,21 +9,21 @@
 
 /// Why a history is not linearizable. All kinds but the last name a specific cause.
 enum class ViolationKind : std::uint8_t {
-  kUnknownContents,       // a read returned contents that no operator sent
-  kTwoContents,           // one version was acknowledged or read with two contents
-  kTwoOnOneBase,          // two changes on one base were both acknowledged
-  kImproperAcknowledged,  // an invalid change was acknowledged or read back
-  kRefusedContents,       // a change that was refused on every attempt was read back
-  kRefusedRepeat,         // a change was refused after it had been acknowledged or read back
-  kRefusedOnNewest,       // a valid change on the newest version was refused
-  kStaleRead,             // a read returned an older version than was known before it began
-  kLostChange,            // the end state lacks an acknowledged change
-  kOrder,                 // assigned versions contradict the order of the calls in time
-  kNotLinearizable,       // no order of the calls explains all answers
+  kUnknownContents,      // a read returned contents that no operator sent
+  kTwoContents,          // one version was acknowledged or read with two contents
+  kTwoChangesOnOneBase,  // two changes on one base were both acknowledged
+  kInvalidAcknowledged,  // an invalid change was acknowledged or read back
+  kRefusedContents,      // a change that was refused on every attempt was read back
+  kRefusedAfterApplied,  // a change was refused after it had been acknowledged or read back
+  kRefusedOnNewest,      // a valid change on the newest version was refused
+  kStaleRead,            // a read returned an older version than was known before it began
+  kLostChange,           // the end state lacks an acknowledged change
+  kVersionOrder,         // assigned versions contradict the order of the calls in time
+  kNotLinearizable,      // no order of the calls explains all answers
 };
 
 /// The name of a kind in reports, such as "stale-read".
-std::string_view kindName(ViolationKind kind);
+std::string_view violationKindName(ViolationKind kind);
 
 struct Violation {
   ViolationKind kind = ViolationKind::kNotLinearizable;
@@ -32,6 +32,6 @@
 };
 
 /// Empty when the history is linearizable.
-using Verdict = std::vector<Violation>;
+using Violations = std::vector<Violation>;
 
 }  // namespace peppergate::history
--- a/src/history/version_chain.h
+++ b/src/history/version_chain.h
@@ -20,6 +20,6 @@
 
 /// Checks the calls of one register. The running time is linear in the number of calls where the
 /// answers determine the chain; it grows with the changes of unknown outcome on the same base.
-Verdict checkVersionChain(const std::vector<OperatorCall>& calls);
+Violations checkVersionChain(const std::vector<OperatorCall>& calls);
 
 }  // namespace peppergate::history
--- a/src/io/daemon.cc
+++ b/src/io/daemon.cc
@@ -10,11 +10,11 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kSlowCaller = 256 << 10;
-constexpr std::size_t kCallerTookEnough = 64 << 10;
-constexpr std::size_t kLargestPage = 8 << 20;  // a body may hold a complete configuration
-constexpr Duration kLateLoop = milliseconds(100), kVeryLateLoop = milliseconds(500);
-constexpr Duration kLagNotedEvery = seconds(1);
+constexpr std::size_t kPauseAboveBytes = 256 << 10;
+constexpr std::size_t kResumeBelowBytes = 64 << 10;
+constexpr std::size_t kMaxOperatorBodyBytes = 8 << 20;  // a body may hold a complete configuration
+constexpr Duration kLateTick = milliseconds(100), kVeryLateTick = milliseconds(500);
+constexpr Duration kLagLogInterval = seconds(1);
 
 sigset_t handledSignals() {
   sigset_t signals;
@@ -26,61 +26,69 @@
 }  // namespace
 
 /// Carries out one command of any kind.
-struct DaemonRunner {
+struct CommandExecutor {
   Daemon& daemon;
-  void operator()(const Send& command) const { daemon.hub_->send(command.to, command.message); }
+  void operator()(const Send& command) const {
+    daemon.transport_->send(command.to, command.message);
+  }
   void operator()(const Broadcast& command) const {
-    daemon.hub_->broadcast(command.to, *command.message);
+    daemon.transport_->broadcast(command.to, *command.message);
   }
   void operator()(const WriteFile& command) const { daemon.disk_->write(command); }
-  void operator()(const DropOlder& command) const { daemon.disk_->dropOlder(command); }
-  void operator()(const CallWeb& command) const {
+  void operator()(const RemoveOlderFiles& command) const {
+    daemon.disk_->removeOlderFiles(command);
+  }
+  void operator()(const CallHttp& command) const {
     daemon.client_->call(command,
-                         [&daemon = daemon, ticket = command.ticket](const WebResult& got) {
-                           daemon.step(WebAnswered{ticket, got.status, got.body});
+                         [&daemon = daemon, ticket = command.ticket](const WebResponse& response) {
+                           daemon.step(HttpCallAnswered{ticket, response.status, response.body});
                          });
   }
-  void operator()(const OpenShot& command) const {
-    if (!daemon.callerPresent(command.shot)) return;
-    daemon.client_->shoot(command,
-                          [&daemon = daemon](const ShotTurned& turned) { daemon.step(turned); });
+  void operator()(const OpenStreamAttempt& command) const {
+    if (!daemon.isCallerConnected(command.attempt)) return;
+    daemon.client_->openStream(command, [&daemon = daemon](const StreamAttemptEvent& attemptEvent) {
+      daemon.step(attemptEvent);
+    });
   }
-  void operator()(const CancelShot& command) const { daemon.client_->cancel(command.shot); }
-  void operator()(const StartAnswer& command) const {
-    auto found = daemon.answering_.find(command.stream);
-    if (found == daemon.answering_.end()) return;
+  void operator()(const CancelStreamAttempt& command) const {
+    daemon.client_->cancel(command.attempt);
+  }
+  void operator()(const StartStreamAnswer& command) const {
+    auto found = daemon.pendingResponses_.find(command.stream);
+    if (found == daemon.pendingResponses_.end()) return;
     found->second.requestId = command.requestId;
-    if (found->second.unary) return;
-    found->second.request->start({{"X-Request-Id", command.requestId},
-                                  {"X-Weights", std::to_string(command.weights.value)}});
+    if (found->second.isUnary) return;
+    found->second.request->startEventStream({{"X-Request-Id", command.requestId},
+                                             {"X-Weights", std::to_string(command.weights.value)}});
   }
   void operator()(const SendPiece& command) const {
-    auto found = daemon.answering_.find(command.stream);
-    if (found == daemon.answering_.end()) return;
-    if (found->second.unary) found->second.gathered += command.text;
-    else found->second.request->event(std::to_string(command.piece.value), "piece", command.text);
+    auto found = daemon.pendingResponses_.find(command.stream);
+    if (found == daemon.pendingResponses_.end()) return;
+    if (found->second.isUnary) found->second.collectedText += command.text;
+    else
+      found->second.request->sendEvent(std::to_string(command.piece.value), "piece", command.text);
   }
-  void operator()(const EndAnswer& command) const {
-    auto owned = daemon.answering_.extract(command.stream);
+  void operator()(const EndStreamAnswer& command) const {
+    auto owned = daemon.pendingResponses_.extract(command.stream);
     if (owned.empty()) return;
-    auto& [request, unary, gathered, requestId, shot, paused] = owned.mapped();
-    if (unary) {  // a unary response is sent only when it is complete
-      request->answer(200, {{"Content-Type", "application/json"}, {"X-Request-Id", requestId}},
-                      Json{{"answer", gathered}}.dump());
+    auto& [request, isUnary, collectedText, requestId, attempt, paused] = owned.mapped();
+    if (isUnary) {  // a unary response is sent only when it is complete
+      request->respond(200, {{"Content-Type", "application/json"}, {"X-Request-Id", requestId}},
+                       Json{{"answer", collectedText}}.dump());
       return;
     }
-    if (command.end == AnswerEnd::kWhole)
-      request->event("", "end", Json{{"pieces", command.next.value}}.dump());
+    if (command.end == StreamAnswerEnd::kComplete)
+      request->sendEvent("", "end", Json{{"pieces", command.next.value}}.dump());
     else
-      request->event("", "error",
-                     Json{{"error", command.kind},
-                          {"mayHaveRun", command.mayHaveRun},
-                          {"next", command.next.value}}
-                         .dump());
-    request->end();
+      request->sendEvent("", "error",
+                         Json{{"error", command.kind},
+                              {"mayHaveRun", command.mayHaveRun},
+                              {"next", command.next.value}}
+                             .dump());
+    request->endStream();
   }
   void operator()(const DeclineStream& command) const {
-    auto owned = daemon.answering_.extract(command.stream);
+    auto owned = daemon.pendingResponses_.extract(command.stream);
     if (owned.empty()) return;
     Headers headers{{"Content-Type", "application/json"}};
     if (command.retryAfter.microseconds > 0)
@@ -89,19 +97,19 @@
     if (!command.requestId.empty()) headers["X-Request-Id"] = command.requestId;
     Json body{{"error", command.kind}, {"mayHaveRun", command.mayHaveRun}};
     if (!command.field.empty()) body["field"] = command.field;
-    owned.mapped().request->answer(command.status, headers, body.dump());
+    owned.mapped().request->respond(command.status, headers, body.dump());
   }
-  void operator()(const AnswerWeb& command) const {
-    auto owned = daemon.operators_.extract(command.ticket);
+  void operator()(const AnswerHttp& command) const {
+    auto owned = daemon.operatorRequests_.extract(command.ticket);
     if (owned.empty()) return;
-    AnswerWeb answer = daemon.endpoints_ ? daemon.endpoints_->operatorAnswer(command) : command;
-    owned.mapped()->answer(answer.status, answer.headers, answer.body);
+    AnswerHttp answer = daemon.endpoints_ ? daemon.endpoints_->operatorResponse(command) : command;
+    owned.mapped()->respond(answer.status, answer.headers, answer.body);
   }
-  void operator()(const NoteState& command) const { LOG(INFO) << command.text; }
+  void operator()(const LogState& command) const { LOG(INFO) << command.text; }
   /// Commands that need a dialect.
-  template <class Other>
-  void operator()(const Other& command) const {
-    if (daemon.endpoints_) daemon.endpoints_->carryOut(command);
+  template <class UnhandledCommand>
+  void operator()(const UnhandledCommand& command) const {
+    if (daemon.endpoints_) daemon.endpoints_->execute(command);
   }
 };
 
@@ -114,25 +122,26 @@
 // Connections report their close while their owners are destroyed. Nothing may be done about it any
 // more, as the objects that it concerns may be destroyed already.
 Daemon::~Daemon() {
-  stepping_ = true;  // the node may still get events, but its commands are not carried out
-  for (auto& [ticket, request] : operators_) request->onGone = nullptr;
-  for (auto& [stream, answering] : answering_) answering.request->onGone = nullptr;
+  isExecuting_ = true;  // the node may still get events, but its commands are not carried out
+  for (auto& [ticket, request] : operatorRequests_) request->onDisconnect = nullptr;
+  for (auto& [stream, response] : pendingResponses_) response.request->onDisconnect = nullptr;
 }
 
 absl::Status Daemon::open() {
   MemberRecord self;
-  self.member = {freshNumber()};
-  self.address = setup_.member;
-  self.pages = setup_.pages;
+  self.member = {randomIdentity()};
+  self.address = setup_.memberAddress;
+  self.pagesAddress = setup_.operatorAddress;
   self.role = role_;
   self.zone = setup_.zone;
   client_ = std::make_unique<WebClient>(loop_);
-  hub_ = std::make_unique<MemberHub>(loop_, setup_.member, setup_.fleet,
-                                     [this](const Address& from, Message message) {
-                                       step(Arrived{from, std::move(message)});
-                                     });
-  pages_ = std::make_unique<WebServer>(
-      loop_, [this](std::shared_ptr<WebRequest> request) { operatorAsked(std::move(request)); });
+  transport_ = std::make_unique<MemberTransport>(loop_, setup_.memberAddress, setup_.fleet,
+                                                 [this](const Address& from, Message message) {
+                                                   step(MessageReceived{from, std::move(message)});
+                                                 });
+  operatorServer_ = std::make_unique<WebServer>(loop_, [this](std::shared_ptr<WebRequest> request) {
+    handleOperatorRequest(std::move(request));
+  });
   if (setup_.dialect)
     endpoints_ = std::make_unique<DialectEndpoints>(loop_, *setup_.dialect,
                                                     [this](const Event& event) { step(event); });
@@ -140,127 +149,132 @@
                         : endpoints_         ? openRouter(self)
                                              : openFront(self);
   if (!opened.ok()) return opened;
-  if (!setup_.pages.value.empty())
-    if (auto status = pages_->listen(setup_.pages, kLargestPage); !status.ok()) return status;
-  return hub_->listen();
+  if (!setup_.operatorAddress.value.empty())
+    if (auto status = operatorServer_->listen(setup_.operatorAddress, kMaxOperatorBodyBytes);
+        !status.ok())
+      return status;
+  return transport_->listen();
 }
 
 absl::Status Daemon::openCore(const MemberRecord& self) {
-  auto files = DiskTask::load(setup_.dataFolder);
+  auto files = DiskWriter::load(setup_.dataFolder);
   if (!files.ok()) return files.status();
-  DiskFound found{*files};
-  if (identityOn(found).value == 0) {
-    std::string identity = identityFile({freshNumber()}, setup_.bootstrap);
-    if (auto status = DiskTask::writeNow(setup_.dataFolder, "identity", identity); !status.ok())
+  DiskContents contents{*files};
+  if (readIdentity(contents).value == 0) {
+    std::string identity = identityFileContent({randomIdentity()}, setup_.bootstrap);
+    if (auto status = DiskWriter::writeNow(setup_.dataFolder, "identity", identity); !status.ok())
       return status;
-    found.files["identity"] = identity;
+    contents.files["identity"] = identity;
   }
-  node_ = std::make_unique<CoreNode>(setup_.options, self, setup_.seeds, found, freshNumber(),
+  node_ = std::make_unique<CoreNode>(setup_.options, self, setup_.seeds, contents, randomIdentity(),
                                      bootNow(), setup_.bootstrap);
-  if (endpoints_) static_cast<CoreNode&>(*node_).takeEngineDuties();
-  disk_ = std::make_unique<DiskTask>(setup_.dataFolder, [this](const FileWritten& written) {
+  if (endpoints_) static_cast<CoreNode&>(*node_).enableEngineDuties();
+  disk_ = std::make_unique<DiskWriter>(setup_.dataFolder, [this](const FileWritten& written) {
     loop_.post([this, written] { step(written); });
   });
   return absl::OkStatus();
 }
 
 absl::Status Daemon::openFront(const MemberRecord& self) {
-  node_ = std::make_unique<FrontNode>(setup_.options, self, setup_.seeds, setup_.platform,
-                                      freshNumber());
-  callers_ = std::make_unique<WebServer>(
-      loop_, [this](std::shared_ptr<WebRequest> request) { callerAsked(std::move(request)); });
-  return callers_->listen(setup_.callers,
-                          static_cast<std::size_t>(setup_.options.largestBody) + 4096);
+  node_ = std::make_unique<FrontNode>(setup_.options, self, setup_.seeds, setup_.platformAddress,
+                                      randomIdentity());
+  callerServer_ = std::make_unique<WebServer>(loop_, [this](std::shared_ptr<WebRequest> request) {
+    handleStreamRequest(std::move(request));
+  });
+  return callerServer_->listen(setup_.clientAddress,
+                               static_cast<std::size_t>(setup_.options.largestBody) + 4096);
 }
 
 absl::Status Daemon::openRouter(const MemberRecord& self) {
-  node_ = std::make_unique<RouterNode>(setup_.options, self, setup_.seeds, setup_.regions,
-                                       freshNumber());
-  return endpoints_->listen(setup_.callers);
+  node_ = std::make_unique<RouterNode>(setup_.options, self, setup_.seeds, setup_.zoneRegions,
+                                       randomIdentity());
+  return endpoints_->listen(setup_.clientAddress);
 }
 
 void Daemon::step(const Event& event) {
   node_->step(event, bootNow());
-  carryOut();
+  executeCommands();
 }
 
-void Daemon::carryOut() {
+void Daemon::executeCommands() {
   // Carrying out a command may raise another event at once; the outer call handles its commands.
-  if (stepping_) return;
-  stepping_ = true;
-  for (auto commands = node_->outbox().take(); !commands.empty(); commands = node_->outbox().take())
-    for (const auto& command : commands) std::visit(DaemonRunner{*this}, command);
-  stepping_ = false;
+  if (isExecuting_) return;
+  isExecuting_ = true;
+  for (auto commands = node_->outbox().takeCommands(); !commands.empty();
+       commands = node_->outbox().takeCommands())
+    for (const auto& command : commands) std::visit(CommandExecutor{*this}, command);
+  isExecuting_ = false;
 }
 
-void Daemon::callerAsked(std::shared_ptr<WebRequest> request) {
-  bool unary = request->path == "/v1/desk";
-  if (request->method != "POST" || (!unary && request->path != "/v1/stream")) {
-    request->answer(request->method == "POST" ? 404 : 405, {{"Content-Type", "application/json"}},
-                    R"({"error":"no-such-path","mayHaveRun":false})");
+void Daemon::handleStreamRequest(std::shared_ptr<WebRequest> request) {
+  bool isUnary = request->path == "/v1/desk";
+  if (request->method != "POST" || (!isUnary && request->path != "/v1/stream")) {
+    request->respond(request->method == "POST" ? 404 : 405, {{"Content-Type", "application/json"}},
+                     R"({"error":"no-such-path","mayHaveRun":false})");
     return;
   }
-  StreamId stream{++lastStream_};
-  request->onGone = [this, stream] {
-    answering_.erase(stream);
-    step(CallerGone{stream});
+  StreamId stream{++lastStreamId_};
+  request->onDisconnect = [this, stream] {
+    pendingResponses_.erase(stream);
+    step(StreamCallerGone{stream});
   };
-  answering_[stream].request = request;
-  answering_[stream].unary = unary;
-  step(StreamRequest{stream, request->headers, request->body, unary});
+  pendingResponses_[stream].request = request;
+  pendingResponses_[stream].isUnary = isUnary;
+  step(StreamRequest{stream, request->headers, request->body, isUnary});
 }
 
 // No engine is called for a caller that has disconnected; the node is notified here.
-bool Daemon::callerPresent(ShotId shot) {
+bool Daemon::isCallerConnected(StreamAttemptId attempt) {
   auto& front = static_cast<FrontNode&>(*node_);
-  for (const auto& [stream, answering] : answering_) {
-    if (front.shotOf(stream) != shot) continue;
-    if (answering.request->callerPresent()) return true;
-    StreamId gone = stream;
-    answering_.erase(gone);
-    step(CallerGone{gone});
+  for (const auto& [stream, response] : pendingResponses_) {
+    if (front.attemptOf(stream) != attempt) continue;
+    if (response.request->isCallerConnected()) return true;
+    StreamId leftStream = stream;
+    pendingResponses_.erase(leftStream);
+    step(StreamCallerGone{leftStream});
     return false;
   }
   return true;
 }
 
-void Daemon::operatorAsked(std::shared_ptr<WebRequest> request) {
+void Daemon::handleOperatorRequest(std::shared_ptr<WebRequest> request) {
   if (request->path == "/rehearsal") {
-    rehearse(std::move(request));
+    injectFaults(std::move(request));
     return;
   }
-  if (answerReady(request)) return;
-  TicketId ticket{++lastTicket_};
-  operators_[ticket] = request;
-  request->onGone = [this, ticket] { operators_.erase(ticket); };
+  if (respondToReadinessCheck(request)) return;
+  TicketId ticket{++lastTicketId_};
+  operatorRequests_[ticket] = request;
+  request->onDisconnect = [this, ticket] { operatorRequests_.erase(ticket); };
   if (endpoints_) {
     auto call = endpoints_->operatorCall(ticket, request->method, request->path, request->headers,
                                          request->body);
-    if (call && std::holds_alternative<AnswerWeb>(*call)) {
-      const AnswerWeb& refusal = std::get<AnswerWeb>(*call);
-      operators_.erase(ticket);
-      return request->answer(refusal.status, refusal.headers, refusal.body);
+    if (call && std::holds_alternative<AnswerHttp>(*call)) {
+      const AnswerHttp& refusal = std::get<AnswerHttp>(*call);
+      operatorRequests_.erase(ticket);
+      return request->respond(refusal.status, refusal.headers, refusal.body);
     }
     if (call) return step(std::get<OperatorRequest>(*call));
   }
   step(OperatorRequest{ticket, request->method, request->path, request->body});
 }
 
-bool Daemon::answerReady(const std::shared_ptr<WebRequest>& request) {
-  if (!endpoints_ || role_ != Role::kFront || request->path != endpoints_->dialect().readyPath())
+bool Daemon::respondToReadinessCheck(const std::shared_ptr<WebRequest>& request) {
+  if (!endpoints_ || role_ != Role::kRouter ||
+      request->path != endpoints_->dialect().readinessPath())
     return false;
   bool ready = static_cast<RouterNode&>(*node_).ready(bootNow());
-  request->answer(ready ? 200 : 503, {}, "");
+  request->respond(ready ? 200 : 503, {}, "");
   return true;
 }
 
-void Daemon::leaveWhenDone() {
+void Daemon::stopWhenDrained() {
   auto stop = [this] { loop_.stop(); };
-  if (!endpoints_ || role_ == Role::kCore) return loop_.after(milliseconds(100), stop);
+  if (!endpoints_ || role_ == Role::kCore) return loop_.runAfter(milliseconds(100), stop);
   // An open connection may bring a request at any moment, so the process ends after the last one.
-  endpoints_->listener().close();
-  bool over = bootNow() - leaving_ > setup_.options.graceTime - seconds(0.6);
-  if (over || endpoints_->listener().connections() == 0) loop_.soon(stop);
+  endpoints_->listener().stopAccepting();
+  bool graceTimeOver = bootNow() - drainStartedAt_ > setup_.options.graceTime - seconds(0.6);
+  if (graceTimeOver || endpoints_->listener().connectionCount() == 0) loop_.runSoon(stop);
 }
 
 void Daemon::logCounters() {
@@ -270,44 +284,44 @@
   LOG(INFO) << "counters" << line;
   line.clear();
   for (std::size_t kind = 0; kind < kMessageKinds; ++kind)
-    if (const auto& sent = hub_->sent()[kind]; sent.messages > 0)
+    if (const auto& sent = transport_->sentByKind()[kind]; sent.messages > 0)
       line += " " + std::string(messageKindName(kind)) + "=" + std::to_string(sent.messages) + "/" +
               std::to_string(sent.bytes);
   LOG(INFO) << "sent to members, messages/bytes" << line;
 }
 
-void Daemon::noteConfig() {
-  if (!endpoints_ || role_ != Role::kFront) return;
+void Daemon::applyRequestLimits() {
+  if (!endpoints_ || role_ != Role::kRouter) return;
   const Follower& follower = static_cast<RouterNode&>(*node_).follower();
-  if (follower.changesSeen() == changesSeen_) return;
-  changesSeen_ = follower.changesSeen();
-  endpoints_->listener().limits(follower.setup().fleet.limits);
+  if (follower.changeCount() == appliedChanges_) return;
+  appliedChanges_ = follower.changeCount();
+  endpoints_->listener().setLimits(follower.setup().fleetConfig.limits);
 }
 
 // Data that waits for a late loop can't be told apart from data that arrived late. So a long delay
 // is logged at once, and the counters say how often it happens.
-void Daemon::noteLoopLag(MonotonicTime now) {
-  Duration late = loopLag_.tick(now);
-  if (late < kLateLoop) return;
+void Daemon::recordLoopLag(MonotonicTime now) {
+  Duration lag = loopLag_.tick(now);
+  if (lag < kLateTick) return;
   node_->outbox().count("loop.late");
-  if (late < kVeryLateLoop) return;
+  if (lag < kVeryLateTick) return;
   node_->outbox().count("loop.veryLate");
-  if (lagNotedAt_ != kNever && now - lagNotedAt_ < kLagNotedEvery) return;
-  lagNotedAt_ = now;
-  LOG(WARNING) << "the event loop is " << inMilliseconds(late) << " ms behind";
+  if (lagLoggedAt_ != kNever && now - lagLoggedAt_ < kLagLogInterval) return;
+  lagLoggedAt_ = now;
+  LOG(WARNING) << "the event loop is " << inMilliseconds(lag) << " ms behind";
 }
 
-void Daemon::rehearse(std::shared_ptr<WebRequest> request) {
+void Daemon::injectFaults(std::shared_ptr<WebRequest> request) {
   Json body = Json::parse(request->body, nullptr, false);
-  if (!setup_.rehearsal || !body.is_object()) {
-    request->answer(403, {}, R"({"outcome":"no-rehearsal"})");
+  if (!setup_.allowsFaultInjection || !body.is_object()) {
+    request->respond(403, {}, R"({"outcome":"no-rehearsal"})");
     return;
   }
   if (body.contains("cut")) {
-    std::set<std::string> cut = body["cut"].get<std::set<std::string>>();
-    LOG(INFO) << "fault injection: blocking " << cut.size() << " addresses";
-    hub_->cut(cut);
-    client_->cut(cut);
+    std::set<std::string> blockedAddresses = body["cut"].get<std::set<std::string>>();
+    LOG(INFO) << "fault injection: blocking " << blockedAddresses.size() << " addresses";
+    transport_->blockAddresses(blockedAddresses);
+    client_->blockAddresses(blockedAddresses);
   }
   static constexpr std::array<std::pair<std::string_view, DiskFault>, 5> kFaults{
       {{"good", DiskFault::kNone},
@@ -316,50 +330,50 @@
        {"full", DiskFault::kFull},
        {"fail", DiskFault::kFailSync}}};
   for (const auto& [name, fault] : kFaults)
-    if (disk_ && body.value("disk", "") == name) disk_->fault(fault);
-  request->answer(200, {}, R"({"outcome":"done"})");
+    if (disk_ && body.value("disk", "") == name) disk_->injectFault(fault);
+  request->respond(200, {}, R"({"outcome":"done"})");
 }
 
-void Daemon::watchSlowCallers() {
+void Daemon::pauseForSlowCallers() {
   if (endpoints_) return;  // the dialect's listener reports backpressure itself
   // A slow caller slows only its own stream: the engine's response isn't read meanwhile.
-  for (auto& [stream, answering] : answering_) {
-    auto shot = role_ == Role::kFront ? static_cast<FrontNode&>(*node_).shotOf(stream)
-                                      : std::optional<ShotId>();
-    if (!shot) continue;
-    std::size_t waiting = answering.request->waiting();
-    if (!answering.paused && waiting > kSlowCaller) {
-      answering.paused = true;
-      client_->pause(*shot, true);
-    } else if (answering.paused && waiting < kCallerTookEnough) {
-      answering.paused = false;
-      client_->pause(*shot, false);
+  for (auto& [stream, response] : pendingResponses_) {
+    auto attempt = role_ == Role::kRouter ? static_cast<FrontNode&>(*node_).attemptOf(stream)
+                                          : std::optional<StreamAttemptId>();
+    if (!attempt) continue;
+    std::size_t waiting = response.request->unsentBytes();
+    if (!response.paused && waiting > kPauseAboveBytes) {
+      response.paused = true;
+      client_->pause(*attempt, true);
+    } else if (response.paused && waiting < kResumeBelowBytes) {
+      response.paused = false;
+      client_->pause(*attempt, false);
     }
   }
 }
 
-int Daemon::run(std::function<absl::StatusOr<Options>()> reread) {
-  LOG(INFO) << (role_ == Role::kCore ? "core" : "front") << " at " << setup_.member.value
-            << ", pages at " << setup_.pages.value;
-  loop_.every(kTickEvery, [this] {
-    noteLoopLag(bootNow());
-    step(Ticked{});
-    noteConfig();
-    watchSlowCallers();
-    if (node_->drained(bootNow())) leaveWhenDone();
+int Daemon::run(std::function<absl::StatusOr<Options>()> readOptions) {
+  LOG(INFO) << (role_ == Role::kCore ? "core" : "front") << " at " << setup_.memberAddress.value
+            << ", pages at " << setup_.operatorAddress.value;
+  loop_.runEvery(kTickInterval, [this] {
+    recordLoopLag(bootNow());
+    step(Tick{});
+    applyRequestLimits();
+    pauseForSlowCallers();
+    if (node_->drained(bootNow())) stopWhenDrained();
   });
-  if (setup_.countersEvery.microseconds > 0)
-    loop_.every(setup_.countersEvery, [this] { logCounters(); });
+  if (setup_.counterLogInterval.microseconds > 0)
+    loop_.runEvery(setup_.counterLogInterval, [this] { logCounters(); });
   auto drain = [this] {
     LOG(INFO) << "draining";
-    leaving_ = std::min(leaving_, bootNow());
-    if (endpoints_ && role_ == Role::kFront) endpoints_->listener().leave();
+    drainStartedAt_ = std::min(drainStartedAt_, bootNow());
+    if (endpoints_ && role_ == Role::kRouter) endpoints_->listener().drain();
     step(DrainRequest{});
   };
   loop_.onSignal(SIGTERM, drain);
   loop_.onSignal(SIGINT, drain);
-  loop_.onSignal(SIGHUP, [this, reread] {
-    auto options = reread();
+  loop_.onSignal(SIGHUP, [this, readOptions] {
+    auto options = readOptions();
     if (options.ok()) {
       LOG(INFO) << "props reread";
       node_->reload(*options);
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -21,20 +21,20 @@
 /// The settings of a daemon, from its flags and its settings file.
 struct DaemonSetup {
   std::string fleet = "peppergate";
-  Address member;    // for frames between members
-  Address pages;     // for operators' calls
-  Address callers;   // for clients' requests, of a router
-  Address platform;  // serves the engine list, of a router
+  Address memberAddress;    // for frames between members
+  Address operatorAddress;  // for operators' calls
+  Address clientAddress;    // for clients' requests, of a router
+  Address platformAddress;  // serves the engine list, of a router
   Zone zone;
   std::vector<Address> seeds;
-  std::string dataFolder;  // of a core
-  Bootstrap bootstrap;     // of a core
-  Duration countersEvery;  // 0: counters are logged only at the end
-  bool rehearsal = false;  // operators may inject faults
+  std::string dataFolder;             // of a core
+  Bootstrap bootstrap;                // of a core
+  Duration counterLogInterval;        // 0: counters are logged only at the end
+  bool allowsFaultInjection = false;  // operators may inject faults
   // Null for the product's own interface. With a dialect, readiness checks arrive at the operators'
   // address, too.
   std::shared_ptr<const Dialect> dialect;
-  std::map<Zone, std::string> regions;  // region of each zone, of a router
+  std::map<Zone, std::string> zoneRegions;  // region of each zone, of a router
   Options options;
 };
 
@@ -47,52 +47,52 @@
   absl::Status open();
   /// Runs until a drain has ended and returns the exit code. SIGTERM and SIGINT start the drain;
   /// SIGHUP reads the options again.
-  int run(std::function<absl::StatusOr<Options>()> reread);
+  int run(std::function<absl::StatusOr<Options>()> readOptions);
 
  private:
-  friend struct DaemonRunner;
-  static constexpr Duration kTickEvery = milliseconds(50);
-  struct Answering {
+  friend struct CommandExecutor;
+  static constexpr Duration kTickInterval = milliseconds(50);
+  struct PendingResponse {
     std::shared_ptr<WebRequest> request;
-    bool unary = false;
-    std::string gathered;
+    bool isUnary = false;
+    std::string collectedText;
     std::string requestId;
-    std::optional<ShotId> shot;
+    std::optional<StreamAttemptId> attempt;
     bool paused = false;
   };
   void step(const Event& event);
-  void carryOut();
-  void callerAsked(std::shared_ptr<WebRequest> request);
-  bool callerPresent(ShotId shot);
-  void operatorAsked(std::shared_ptr<WebRequest> request);
-  void rehearse(std::shared_ptr<WebRequest> request);
-  void watchSlowCallers();
+  void executeCommands();
+  void handleStreamRequest(std::shared_ptr<WebRequest> request);
+  bool isCallerConnected(StreamAttemptId attempt);
+  void handleOperatorRequest(std::shared_ptr<WebRequest> request);
+  void injectFaults(std::shared_ptr<WebRequest> request);
+  void pauseForSlowCallers();
   absl::Status openCore(const MemberRecord& self);
   absl::Status openFront(const MemberRecord& self);
   absl::Status openRouter(const MemberRecord& self);
   void logCounters();
-  void leaveWhenDone();
-  bool answerReady(const std::shared_ptr<WebRequest>& request);
-  void noteConfig();
-  void noteLoopLag(MonotonicTime now);
+  void stopWhenDrained();
+  bool respondToReadinessCheck(const std::shared_ptr<WebRequest>& request);
+  void applyRequestLimits();
+  void recordLoopLag(MonotonicTime now);
 
   Role role_;
   DaemonSetup setup_;
-  Loop loop_;
+  EventLoop loop_;
   std::unique_ptr<Node> node_;
-  std::unique_ptr<MemberHub> hub_;
-  std::unique_ptr<DiskTask> disk_;
+  std::unique_ptr<MemberTransport> transport_;
+  std::unique_ptr<DiskWriter> disk_;
   std::unique_ptr<WebClient> client_;
-  std::unique_ptr<WebServer> pages_, callers_;
+  std::unique_ptr<WebServer> operatorServer_, callerServer_;
   std::unique_ptr<DialectEndpoints> endpoints_;  // null without a dialect
-  std::uint64_t changesSeen_ = 0;
-  MonotonicTime leaving_ = kForever;  // when the drain started
-  std::map<StreamId, Answering> answering_;
-  std::map<TicketId, std::shared_ptr<WebRequest>> operators_;
-  std::uint64_t lastStream_ = 0, lastTicket_ = std::uint64_t{1} << 40;
-  LoopLag loopLag_{kTickEvery};
-  MonotonicTime lagNotedAt_ = kNever;
-  bool stepping_ = false;
+  std::uint64_t appliedChanges_ = 0;
+  MonotonicTime drainStartedAt_ = kForever;  // when the drain started
+  std::map<StreamId, PendingResponse> pendingResponses_;
+  std::map<TicketId, std::shared_ptr<WebRequest>> operatorRequests_;
+  std::uint64_t lastStreamId_ = 0, lastTicketId_ = std::uint64_t{1} << 40;
+  LoopLag loopLag_{kTickInterval};
+  MonotonicTime lagLoggedAt_ = kNever;
+  bool isExecuting_ = false;
 };
 
 }  // namespace peppergate
--- a/src/io/disk_task.cc
+++ b/src/io/disk_task.cc
@@ -18,7 +18,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::string_view kAside = ".aside";  // suffix of a file that is being written
+constexpr std::string_view kTemporarySuffix = ".aside";  // suffix of a file that is being written
 
 absl::Status fileError(std::string_view what, const std::string& path) {
   return absl::UnavailableError(std::string(what) + " " + path + ": " + strerror(errno));
@@ -30,7 +30,7 @@
 }
 const FileCalls kSystemCalls{&openFile, &writeSome, &fsync, &close, &std::rename};
 
-bool noSpace() { return errno == ENOSPC || errno == EDQUOT; }
+bool isOutOfSpace() { return errno == ENOSPC || errno == EDQUOT; }
 
 absl::Status syncFolder(const FileCalls& calls, const std::string& folder) {
   int descriptor = calls.openFile(folder.c_str(), O_RDONLY | O_DIRECTORY, 0);
@@ -41,16 +41,17 @@
   return status;
 }
 
-absl::Status writeAside(const FileCalls& calls, const std::string& path, std::string_view content) {
+absl::Status writeTemporaryFile(const FileCalls& calls, const std::string& path,
+                                std::string_view content) {
   int descriptor = calls.openFile(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
   if (descriptor < 0)
-    return noSpace() ? absl::ResourceExhaustedError("no space left for " + path)
-                     : fileError("create", path);
+    return isOutOfSpace() ? absl::ResourceExhaustedError("no space left for " + path)
+                          : fileError("create", path);
   while (!content.empty()) {
     long count = calls.writeSome(descriptor, content.data(), content.size());
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) {  // writing no bytes is taken for a full disk, too
-      absl::Status status = count == 0 || noSpace()
+      absl::Status status = count == 0 || isOutOfSpace()
                                 ? absl::ResourceExhaustedError("no space left for " + path)
                                 : fileError("write", path);
       calls.closeFile(descriptor);
@@ -67,46 +68,46 @@
 
 }  // namespace
 
-int FileCalls::removeName(const char* path) { return std::remove(path); }
+int FileCalls::removePath(const char* path) { return std::remove(path); }
 
-std::vector<std::string> FileCalls::namesIn(const char* path) {
+std::vector<std::string> FileCalls::listDirectory(const char* path) {
   std::vector<std::string> names;
-  std::error_code fault;
-  for (const auto& entry : fs::directory_iterator(path, fault))
+  std::error_code error;
+  for (const auto& entry : fs::directory_iterator(path, error))
     names.push_back(entry.path().filename().string());
   return names;
 }
 
-std::string FileCalls::contentOf(const char* path) {
+std::string FileCalls::readWholeFile(const char* path) {
   std::ifstream file(path, std::ios::binary);
   std::stringstream content;
   content << file.rdbuf();
   return content.str();
 }
 
-absl::StatusOr<std::map<std::string, std::string>> DiskTask::load(const std::string& folder,
-                                                                  const FileCalls& calls) {
-  std::error_code fault;
-  fs::create_directories(folder, fault);
-  if (fault)
+absl::StatusOr<std::map<std::string, std::string>> DiskWriter::load(const std::string& folder,
+                                                                    const FileCalls& calls) {
+  std::error_code error;
+  fs::create_directories(folder, error);
+  if (error)
     return absl::FailedPreconditionError("cannot create data folder " + folder + ": " +
-                                         fault.message());
-  const std::string probe = folder + "/.probe";
-  absl::Status probed = writeAside(calls, probe, "probe");
-  calls.removeFile(probe.c_str());
-  if (!probed.ok() && !absl::IsResourceExhausted(probed))
+                                         error.message());
+  const std::string probePath = folder + "/.probe";
+  absl::Status probeStatus = writeTemporaryFile(calls, probePath, "probe");
+  calls.removeFile(probePath.c_str());
+  if (!probeStatus.ok() && !absl::IsResourceExhausted(probeStatus))
     return absl::FailedPreconditionError("data folder is not writable: " +
-                                         std::string(probed.message()));
+                                         std::string(probeStatus.message()));
   std::map<std::string, std::string> files;
   for (const std::string& name : calls.listFolder(folder.c_str())) {
     const std::string path = folder + "/" + name;
-    if (name.ends_with(kAside)) {  // a write that was never renamed
+    if (name.ends_with(kTemporarySuffix)) {  // a write that was never renamed
       calls.removeFile(path.c_str());
       continue;
     }
     files[name] = calls.readFile(path.c_str());
   }
-  if (absl::Status synced = syncFolder(calls, folder); !synced.ok()) return synced;
+  if (absl::Status syncStatus = syncFolder(calls, folder); !syncStatus.ok()) return syncStatus;
   return files;
 }
 
@@ -115,27 +116,28 @@
 absl::Status writeFile(const FileCalls& calls, const std::string& folder, const std::string& name,
                        std::string_view content) {
   std::string path = folder + "/" + name;
-  std::string aside = path + std::string(kAside);
-  if (absl::Status status = writeAside(calls, aside, content); !status.ok()) {
-    if (absl::IsResourceExhausted(status)) calls.removeFile(aside.c_str());  // frees its space
+  std::string temporaryPath = path + std::string(kTemporarySuffix);
+  if (absl::Status status = writeTemporaryFile(calls, temporaryPath, content); !status.ok()) {
+    if (absl::IsResourceExhausted(status))
+      calls.removeFile(temporaryPath.c_str());  // frees its space
     return status;
   }
-  if (calls.renameFile(aside.c_str(), path.c_str()) != 0) return fileError("rename", path);
+  if (calls.renameFile(temporaryPath.c_str(), path.c_str()) != 0) return fileError("rename", path);
   return syncFolder(calls, folder);
 }
 
-absl::Status DiskTask::writeNow(const std::string& folder, const std::string& name,
-                                const std::string& content) {
+absl::Status DiskWriter::writeNow(const std::string& folder, const std::string& name,
+                                  const std::string& content) {
   return writeFile(kSystemCalls, folder, name, content);
 }
 
-DiskTask::DiskTask(std::string folder, Answer answer, const FileCalls& calls)
+DiskWriter::DiskWriter(std::string folder, WrittenHandler onWritten, const FileCalls& calls)
     : folder_(std::move(folder)),
-      answer_(std::move(answer)),
+      onWritten_(std::move(onWritten)),
       calls_(calls),
-      thread_([this] { work(); }) {}
+      thread_([this] { run(); }) {}
 
-DiskTask::~DiskTask() {
+DiskWriter::~DiskWriter() {
   {
     std::lock_guard lock(mutex_);
     stopping_ = true;
@@ -144,7 +146,7 @@
   thread_.join();
 }
 
-void DiskTask::push(Job job) {
+void DiskWriter::enqueue(Job job) {
   {
     std::lock_guard lock(mutex_);
     jobs_.push_back(std::move(job));
@@ -152,24 +154,24 @@
   wake_.notify_one();
 }
 
-void DiskTask::write(WriteFile command) { push(std::move(command)); }
-void DiskTask::dropOlder(DropOlder command) { push(std::move(command)); }
+void DiskWriter::write(WriteFile command) { enqueue(std::move(command)); }
+void DiskWriter::removeOlderFiles(RemoveOlderFiles command) { enqueue(std::move(command)); }
 
-void DiskTask::fault(DiskFault fault) {
+void DiskWriter::injectFault(DiskFault fault) {
   {
     std::lock_guard lock(mutex_);
-    fault_ = fault;
+    injectedFault_ = fault;
   }
   wake_.notify_all();
 }
 
-absl::Status DiskTask::writeOnce(const WriteFile& command) {
+absl::Status DiskWriter::tryWrite(const WriteFile& command) {
   DiskFault fault = DiskFault::kNone;
   {
     std::unique_lock lock(mutex_);
     // An injected stall blocks every write until the fault is removed.
-    wake_.wait(lock, [this] { return stopping_ || fault_ != DiskFault::kStall; });
-    fault = fault_;
+    wake_.wait(lock, [this] { return stopping_ || injectedFault_ != DiskFault::kStall; });
+    fault = injectedFault_;
   }
   if (fault == DiskFault::kSlow) std::this_thread::sleep_for(std::chrono::milliseconds(400));
   if (fault == DiskFault::kFull)
@@ -178,11 +180,11 @@
   return writeFile(calls_, folder_, command.name, command.content);
 }
 
-absl::Status DiskTask::carryOut(const WriteFile& command) {
+absl::Status DiskWriter::execute(const WriteFile& command) {
   // A full disk changes nothing that was written: the write is retried until there is space. In the
   // meantime the core sees a stalled disk and gives up its duties; it resumes them afterwards.
   while (true) {
-    absl::Status status = writeOnce(command);
+    absl::Status status = tryWrite(command);
     if (!absl::IsResourceExhausted(status)) return status;
     std::unique_lock lock(mutex_);
     wake_.wait_for(lock, std::chrono::milliseconds(200));
@@ -190,16 +192,17 @@
   }
 }
 
-void DiskTask::carryOut(const DropOlder& command) {
+void DiskWriter::execute(const RemoveOlderFiles& command) {
   std::vector<std::string> names;
   for (const std::string& name : calls_.listFolder(folder_.c_str()))
-    if (name.starts_with(command.prefix + ".") && !name.ends_with(kAside)) names.push_back(name);
+    if (name.starts_with(command.prefix + ".") && !name.ends_with(kTemporarySuffix))
+      names.push_back(name);
   std::ranges::sort(names);
   for (std::size_t index = 0; index + command.keep < names.size(); ++index)
     calls_.removeFile((folder_ + "/" + names[index]).c_str());
 }
 
-void DiskTask::work() {
+void DiskWriter::run() {
   while (true) {
     Job job;
     {
@@ -209,10 +212,10 @@
       job = std::move(jobs_.front());
       jobs_.pop_front();
     }
-    if (auto* drop = std::get_if<DropOlder>(&job)) carryOut(*drop);
+    if (auto* removal = std::get_if<RemoveOlderFiles>(&job)) execute(*removal);
     else {
       const auto& command = std::get<WriteFile>(job);
-      answer_(FileWritten{command.ticket, carryOut(command).ok()});
+      onWritten_(FileWritten{command.ticket, execute(command).ok()});
     }
   }
 }
--- a/src/io/disk_task.h
+++ b/src/io/disk_task.h
@@ -28,14 +28,14 @@
   int (*syncFile)(int descriptor);
   int (*closeFile)(int descriptor);
   int (*renameFile)(const char* from, const char* to);
-  int (*removeFile)(const char* path) = &removeName;
-  std::vector<std::string> (*listFolder)(const char* path) = &namesIn;
-  std::string (*readFile)(const char* path) = &contentOf;
+  int (*removeFile)(const char* path) = &removePath;
+  std::vector<std::string> (*listFolder)(const char* path) = &listDirectory;
+  std::string (*readFile)(const char* path) = &readWholeFile;
 
  private:
-  static int removeName(const char* path);
-  static std::vector<std::string> namesIn(const char* path);
-  static std::string contentOf(const char* path);
+  static int removePath(const char* path);
+  static std::vector<std::string> listDirectory(const char* path);
+  static std::string readWholeFile(const char* path);
 };
 /// The operating system's file system calls.
 const FileCalls& systemCalls();
@@ -46,14 +46,14 @@
                        std::string_view content);
 
 /// Carries out write commands in order on its own thread, which also calls the completion handler.
-class DiskTask {
+class DiskWriter {
  public:
-  using Answer = std::function<void(const FileWritten&)>;
+  using WrittenHandler = std::function<void(const FileWritten&)>;
   /// The file system calls must outlive it; only tests replace the system's.
-  DiskTask(std::string folder, Answer answer, const FileCalls& calls = systemCalls());
-  ~DiskTask();
-  DiskTask(const DiskTask&) = delete;
-  DiskTask& operator=(const DiskTask&) = delete;
+  DiskWriter(std::string folder, WrittenHandler onWritten, const FileCalls& calls = systemCalls());
+  ~DiskWriter();
+  DiskWriter(const DiskWriter&) = delete;
+  DiskWriter& operator=(const DiskWriter&) = delete;
 
   /// Checks that the folder is writable, removes temporary files that were never renamed, and reads
   /// the others. The folder is synced before the contents are returned: an earlier process may have
@@ -65,25 +65,25 @@
   static absl::Status writeNow(const std::string& folder, const std::string& name,
                                const std::string& content);
   void write(WriteFile command);
-  void dropOlder(DropOlder command);
+  void removeOlderFiles(RemoveOlderFiles command);
   /// Injects a fault into all later writes.
-  void fault(DiskFault fault);
+  void injectFault(DiskFault fault);
 
  private:
-  using Job = std::variant<WriteFile, DropOlder>;
-  void work();
-  void push(Job job);
-  absl::Status carryOut(const WriteFile& command);
-  absl::Status writeOnce(const WriteFile& command);
-  void carryOut(const DropOlder& command);
+  using Job = std::variant<WriteFile, RemoveOlderFiles>;
+  void run();
+  void enqueue(Job job);
+  absl::Status execute(const WriteFile& command);
+  absl::Status tryWrite(const WriteFile& command);
+  void execute(const RemoveOlderFiles& command);
 
   std::string folder_;
-  Answer answer_;
+  WrittenHandler onWritten_;
   const FileCalls& calls_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Job> jobs_;
-  DiskFault fault_ = DiskFault::kNone;
+  DiskFault injectedFault_ = DiskFault::kNone;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/src/io/fresh_number.cc
+++ b/src/io/fresh_number.cc
@@ -5,15 +5,15 @@
 
 namespace peppergate {
 
-absl::StatusOr<std::uint64_t> freshNumber(const RandomSource& source) {
+absl::StatusOr<std::uint64_t> randomIdentity(const RandomSource& source) {
   std::uint64_t number = 0;
   if (source(&number, sizeof number) != static_cast<std::ptrdiff_t>(sizeof number))
     return absl::UnavailableError("no random bytes available for an identity");
   return (number >> 1) | 1;
 }
 
-std::uint64_t freshNumber() {
-  auto number = freshNumber(
+std::uint64_t randomIdentity() {
+  auto number = randomIdentity(
       [](void* buffer, std::size_t size) -> std::ptrdiff_t { return getrandom(buffer, size, 0); });
   if (!number.ok()) LOG(FATAL) << number.status().message();
   return *number;
--- a/src/io/fresh_number.h
+++ b/src/io/fresh_number.h
@@ -13,8 +13,8 @@
 
 /// A random odd number of 63 bits, never 0. Two machines with the same identity would count as one
 /// voter, so there is no fallback: without random bytes the error is kUnavailable.
-absl::StatusOr<std::uint64_t> freshNumber(const RandomSource& source);
+absl::StatusOr<std::uint64_t> randomIdentity(const RandomSource& source);
 /// As above, from the kernel's random source; a failure ends the process with a message.
-std::uint64_t freshNumber();
+std::uint64_t randomIdentity();
 
 }  // namespace peppergate
--- a/src/io/http_answer.h
+++ b/src/io/http_answer.h
@@ -9,52 +9,52 @@
 namespace peppergate {
 
 /// Reads one response; interim heads (1xx) are skipped.
-class AnswerReader {
+class ResponseReader {
  public:
   enum class Step : std::uint8_t {
-    kMore,   // nothing new: more bytes are needed
-    kHead,   // `head()` is available
-    kBody,   // `body` holds received bytes of the body
-    kWhole,  // complete by its framing; the bytes that are left follow the response
-    kBad,    // malformed
+    kNeedMore,  // nothing new: more bytes are needed
+    kHead,      // `head()` is available
+    kBody,      // `body` holds received bytes of the body
+    kComplete,  // complete by its framing; the bytes that are left follow the response
+    kInvalid,   // malformed
   };
-  explicit AnswerReader(bool toHead = false) : toHead_(toHead) {}
+  explicit ResponseReader(bool toHeadRequest = false) : toHeadRequest_(toHeadRequest) {}
   /// Consumes input from its front up to the next step.
   Step next(std::string_view& bytes, std::string& body);
   HttpHead& head() { return head_; }
   /// How long the connection may stay idle for reuse after this response; 0 if it must be closed.
-  Duration keepTime() const;
+  Duration idleTimeout() const;
 
  private:
-  enum class Phase : std::uint8_t { kHead, kBody, kWhole, kBad };
+  enum class Phase : std::uint8_t { kHead, kBody, kComplete, kInvalid };
   Step nextHead(std::string_view& bytes);
   Step nextBody(std::string_view& bytes, std::string& body);
 
-  bool toHead_;
+  bool toHeadRequest_;
   Phase phase_ = Phase::kHead;
   HeadScanner scanner_;
-  std::string rest_;  // bytes of an incomplete head
+  std::string partialHead_;  // bytes of an incomplete head
   HttpHead head_;
   ChunkReader chunks_;
-  std::uint64_t left_ = 0;
+  std::uint64_t remainingBytes_ = 0;
 };
 
 /// Splits a stream into events, each ended by an empty line.
 class EventSplitter {
  public:
-  struct Marks {
-    std::optional<std::uint64_t> firstEvent, lastEvent;
+  struct EventRange {
+    std::optional<std::uint64_t> firstEventId, lastEventId;
     std::optional<WeightsVersion> newVersion;
   };
   /// Adds bytes and returns the events that are complete, unchanged. What they say is merged into
   /// the last argument.
-  std::string take(std::string bytes, const Dialect& dialect, Marks& marks);
+  std::string takeEvents(std::string bytes, const Dialect& dialect, EventRange& eventRange);
   /// Removes and returns the bytes behind the last complete event.
-  std::string takeRest() { return std::exchange(rest_, {}); }
-  std::size_t waiting() const { return rest_.size(); }
+  std::string takeRemainder() { return std::exchange(buffered_, {}); }
+  std::size_t bufferedBytes() const { return buffered_.size(); }
 
  private:
-  std::string rest_;
+  std::string buffered_;
   std::size_t lineStart_ = 0;  // of the first incomplete line in the buffer
 };
 
--- a/src/io/http_client.cc
+++ b/src/io/http_client.cc
@@ -5,16 +5,16 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kLargestEvent = 4U << 20;    // of an incomplete event of a stream
-constexpr std::size_t kLargestAnswer = 16U << 20;  // of a call's body
+constexpr std::size_t kMaxEventBytes = 4U << 20;      // of an incomplete event of a stream
+constexpr std::size_t kMaxResponseBytes = 16U << 20;  // of a call's body
 
-std::string lowered(std::string text) {
+std::string toLowerAscii(std::string text) {
   for (char& one : text)
     if (one >= 'A' && one <= 'Z') one = static_cast<char>(one - 'A' + 'a');
   return text;
 }
 
-std::string callText(const HttpCall& call) {
+std::string formatRequest(const HttpCall& call) {
   std::string text;
   text.reserve(256 + call.body.size());
   text += call.method;
@@ -42,12 +42,12 @@
 }  // namespace
 
 struct HttpClient::State {
-  State(Loop& loop, const Dialect& dialect) : pool(loop, dialect) {}
+  State(EventLoop& loop, const Dialect& dialect) : pool(loop, dialect) {}
   ~State() {
-    for (auto& [id, exchange] : std::exchange(attempts, {})) end(*exchange);
-    for (auto& [key, exchange] : std::exchange(calls, {})) end(*exchange);
+    for (auto& [id, exchange] : std::exchange(attempts, {})) abort(*exchange);
+    for (auto& [key, exchange] : std::exchange(calls, {})) abort(*exchange);
   }
-  static void end(Exchange& exchange) {
+  static void abort(Exchange& exchange) {
     exchange.done = true;
     exchange.stopTimer();
     if (auto used = std::exchange(exchange.connection, nullptr)) used->close();
@@ -64,76 +64,78 @@
  public:
   using Table = std::unordered_map<std::uint64_t, std::shared_ptr<Exchange>>;
   AttemptExchange(ConnectionPool& pool, Table& table, OpenAttempt command,
-                  HttpClient::AttemptTaker taker, HttpClient::StillWanted stillWanted)
+                  HttpClient::AttemptHandler handler, HttpClient::StillWanted stillWanted)
       : Exchange(pool, command.wire && command.wire->method == "HEAD"),
         table_(table),
         command_(std::move(command)),
-        taker_(std::move(taker)),
+        handler_(std::move(handler)),
         stillWanted_(std::move(stillWanted)) {}
 
   bool stillWanted() override { return !stillWanted_ || stillWanted_(); }
-  void tellWritten() override { tell(AttemptTurn::kWritten); }
-  void failed() override { tell(written ? AttemptTurn::kBroken : AttemptTurn::kNotWritten); }
-  void whole() override { tell(AttemptTurn::kEnded); }
-  void forget() override { table_.erase(command_.attempt.value); }
+  void onWritten() override { notify(AttemptEventKind::kWritten); }
+  void onFailed() override {
+    notify(written ? AttemptEventKind::kBroken : AttemptEventKind::kNotWritten);
+  }
+  void onComplete() override { notify(AttemptEventKind::kComplete); }
+  void unregister() override { table_.erase(command_.attempt.value); }
 
-  bool headCame() override {
-    HttpHead& read = reader.head();
+  bool onHead() override {
+    HttpHead& received = reader.head();
     auto head = std::make_shared<WireHead>();
-    head->status = read.status;
-    head->reason = std::move(read.reason);
-    head->headers = std::move(read.headers);
-    if (read.length && read.framing != BodyFraming::kChunked)
-      head->length = static_cast<std::size_t>(*read.length);
-    AttemptTurned turned;
-    if (!pool.dialect.readHead(*head, command_, turned)) return false;
-    events_ = command_.stream && read.status < 300;
-    turned.attempt = command_.attempt;
-    turned.turn = AttemptTurn::kHead;
-    turned.leaving = turned.leaving || read.closeTold;
-    turned.head = std::move(head);
-    taker_(std::move(turned));
+    head->status = received.status;
+    head->reason = std::move(received.reason);
+    head->headers = std::move(received.headers);
+    if (received.contentLength && received.framing != BodyFraming::kChunked)
+      head->bodyLength = static_cast<std::size_t>(*received.contentLength);
+    AttemptEvent attemptEvent;
+    if (!pool.dialect.readAttemptHead(*head, command_, attemptEvent)) return false;
+    isEventStream_ = command_.stream && received.status < 300;
+    attemptEvent.attempt = command_.attempt;
+    attemptEvent.kind = AttemptEventKind::kHead;
+    attemptEvent.closesConnection = attemptEvent.closesConnection || received.connectionClose;
+    attemptEvent.head = std::move(head);
+    handler_(std::move(attemptEvent));
     return true;
   }
-  void bodyCame(std::string bytes) override {
-    AttemptTurned turned;
-    turned.attempt = command_.attempt;
-    turned.turn = AttemptTurn::kBody;
-    if (events_) {
-      EventSplitter::Marks marks;
-      bytes = splitter_.take(std::move(bytes), pool.dialect, marks);
-      turned.firstEvent = marks.firstEvent;
-      turned.lastEvent = marks.lastEvent;
-      turned.newVersion = marks.newVersion;
-      if (splitter_.waiting() > kLargestEvent) return fail();
+  void onBody(std::string bytes) override {
+    AttemptEvent attemptEvent;
+    attemptEvent.attempt = command_.attempt;
+    attemptEvent.kind = AttemptEventKind::kBody;
+    if (isEventStream_) {
+      EventSplitter::EventRange eventRange;
+      bytes = splitter_.takeEvents(std::move(bytes), pool.dialect, eventRange);
+      attemptEvent.firstEventId = eventRange.firstEventId;
+      attemptEvent.lastEventId = eventRange.lastEventId;
+      attemptEvent.newVersion = eventRange.newVersion;
+      if (splitter_.bufferedBytes() > kMaxEventBytes) return fail();
     }
     if (bytes.empty()) return;
-    turned.bytes = std::move(bytes);
-    taker_(std::move(turned));
+    attemptEvent.bytes = std::move(bytes);
+    handler_(std::move(attemptEvent));
   }
   // Bytes behind the last event belong to a complete body as well.
-  void lastCame() override {
-    std::string rest = splitter_.takeRest();
-    if (rest.empty() || done) return;
-    AttemptTurned turned;
-    turned.attempt = command_.attempt;
-    turned.turn = AttemptTurn::kBody;
-    turned.bytes = std::move(rest);
-    taker_(std::move(turned));
+  void onBodyEnd() override {
+    std::string remainder = splitter_.takeRemainder();
+    if (remainder.empty() || done) return;
+    AttemptEvent attemptEvent;
+    attemptEvent.attempt = command_.attempt;
+    attemptEvent.kind = AttemptEventKind::kBody;
+    attemptEvent.bytes = std::move(remainder);
+    handler_(std::move(attemptEvent));
   }
 
  private:
-  void tell(AttemptTurn turn) {
-    AttemptTurned turned;
-    turned.attempt = command_.attempt;
-    turned.turn = turn;
-    taker_(std::move(turned));
+  void notify(AttemptEventKind kind) {
+    AttemptEvent attemptEvent;
+    attemptEvent.attempt = command_.attempt;
+    attemptEvent.kind = kind;
+    handler_(std::move(attemptEvent));
   }
   Table& table_;
   OpenAttempt command_;
-  HttpClient::AttemptTaker taker_;
+  HttpClient::AttemptHandler handler_;
   HttpClient::StillWanted stillWanted_;
-  bool events_ = false;
+  bool isEventStream_ = false;
   EventSplitter splitter_;
 };
 
@@ -141,57 +143,59 @@
 class CallExchange final : public Exchange {
  public:
   using Table = std::unordered_map<Exchange*, std::shared_ptr<Exchange>>;
-  CallExchange(ConnectionPool& pool, Table& table, bool toHead, HttpClient::CallTaker taker)
-      : Exchange(pool, toHead), table_(table), taker_(std::move(taker)) {}
+  CallExchange(ConnectionPool& pool, Table& table, bool toHeadRequest,
+               HttpClient::ResponseHandler handler)
+      : Exchange(pool, toHeadRequest), table_(table), handler_(std::move(handler)) {}
 
-  void tellWritten() override {}
-  void failed() override {
-    HttpAnswer none;
+  void onWritten() override {}
+  void onFailed() override {
+    HttpResponse none;
     none.written = written;
-    taker_(none);
+    handler_(none);
   }
-  void whole() override {
-    answer_.written = true;
-    taker_(answer_);
+  void onComplete() override {
+    response_.written = true;
+    handler_(response_);
   }
-  void forget() override { table_.erase(this); }
-  bool headCame() override {
+  void unregister() override { table_.erase(this); }
+  bool onHead() override {
     WireHead head;
     head.status = reader.head().status;
     head.headers = std::move(reader.head().headers);
-    if (!pool.dialect.answersCall(head)) return false;
-    answer_.status = head.status;
+    if (!pool.dialect.isCallResponse(head)) return false;
+    response_.status = head.status;
     for (auto& [name, value] : head.headers) {
-      auto [entry, added] = answer_.headers.emplace(lowered(std::move(name)), value);
+      auto [entry, added] = response_.headers.emplace(toLowerAscii(std::move(name)), value);
       if (!added) entry->second += ", " + value;
     }
     return true;
   }
-  void bodyCame(std::string bytes) override {
-    if (answer_.body.size() + bytes.size() > kLargestAnswer) return fail();
-    if (answer_.body.empty()) answer_.body = std::move(bytes);
-    else answer_.body += bytes;
+  void onBody(std::string bytes) override {
+    if (response_.body.size() + bytes.size() > kMaxResponseBytes) return fail();
+    if (response_.body.empty()) response_.body = std::move(bytes);
+    else response_.body += bytes;
   }
 
  private:
   Table& table_;
-  HttpAnswer answer_;
-  HttpClient::CallTaker taker_;
+  HttpResponse response_;
+  HttpClient::ResponseHandler handler_;
 };
 
 }  // namespace
 
-HttpClient::HttpClient(Loop& loop, const Dialect& dialect)
+HttpClient::HttpClient(EventLoop& loop, const Dialect& dialect)
     : state_(std::make_unique<State>(loop, dialect)) {}
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::attempt(const OpenAttempt& command, AttemptTaker taker, StillWanted stillWanted) {
+void HttpClient::attempt(const OpenAttempt& command, AttemptHandler handler,
+                         StillWanted stillWanted) {
   auto exchange = std::make_shared<AttemptExchange>(state_->pool, state_->attempts, command,
-                                                    std::move(taker), std::move(stillWanted));
+                                                    std::move(handler), std::move(stillWanted));
   exchange->address = command.address;
-  exchange->text = state_->pool.dialect.attemptText(command);
-  exchange->writeBefore = command.writeBefore;
+  exchange->requestText = state_->pool.dialect.formatAttempt(command);
+  exchange->writeDeadline = command.writeBefore;
   exchange->connectTimeout = command.connectTimeout;
   state_->attempts[command.attempt.value] = exchange;
   state_->pool.start(exchange);
@@ -202,7 +206,7 @@
   if (found == state_->attempts.end()) return;
   auto exchange = found->second;
   state_->attempts.erase(found);
-  State::end(*exchange);
+  State::abort(*exchange);
 }
 
 void HttpClient::pause(AttemptId attempt, bool paused) {
@@ -213,20 +217,20 @@
   if (exchange.connection) exchange.connection->pause(paused);
 }
 
-void HttpClient::call(const HttpCall& call, CallTaker taker) {
+void HttpClient::call(const HttpCall& call, ResponseHandler handler) {
   auto exchange = std::make_shared<CallExchange>(state_->pool, state_->calls, call.method == "HEAD",
-                                                 std::move(taker));
+                                                 std::move(handler));
   exchange->address = call.address;
-  exchange->text = callText(call);
-  exchange->writeBefore = call.writeBefore;
+  exchange->requestText = formatRequest(call);
+  exchange->writeDeadline = call.writeDeadline;
   exchange->ownConnection = call.ownConnection;
-  exchange->bounded = true;
+  exchange->hasOverallTimeout = true;
   exchange->startTimer(call.timeout);
   state_->calls[exchange.get()] = exchange;
   state_->pool.start(exchange);
 }
 
-std::uint64_t HttpClient::opened() const { return state_->pool.opened; }
-std::size_t HttpClient::kept() const { return state_->pool.keptCount; }
+std::uint64_t HttpClient::connectionsOpened() const { return state_->pool.connectionsOpened; }
+std::size_t HttpClient::idleConnectionCount() const { return state_->pool.idleCount; }
 
 }  // namespace peppergate
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -13,24 +13,25 @@
 /// carried the id of the request, and that no further bytes followed.
 class HttpClient {
  public:
-  using AttemptTaker = std::function<void(AttemptTurned)>;
-  using CallTaker = std::function<void(const HttpAnswer&)>;
+  using AttemptHandler = std::function<void(AttemptEvent)>;
+  using ResponseHandler = std::function<void(const HttpResponse&)>;
   /// Whether an attempt is still wanted; called right before its first byte is written.
   using StillWanted = std::function<bool()>;
-  HttpClient(Loop& loop, const Dialect& dialect);
+  HttpClient(EventLoop& loop, const Dialect& dialect);
   ~HttpClient();
   /// Sends one attempt and reports its events as they arrive, never from inside this call. An
   /// attempt that isn't wanted any more is not written; `stillWanted` may cancel it from inside.
-  void attempt(const OpenAttempt& command, AttemptTaker taker, StillWanted stillWanted = nullptr);
+  void attempt(const OpenAttempt& command, AttemptHandler handler,
+               StillWanted stillWanted = nullptr);
   /// Aborts an attempt and closes its connection; none of its events is reported any more.
   void cancel(AttemptId attempt);
   /// Pauses or resumes reading an attempt's response, while its client reads slowly.
   void pause(AttemptId attempt, bool paused);
   /// Sends a short call.
-  void call(const HttpCall& call, CallTaker taker);
+  void call(const HttpCall& call, ResponseHandler handler);
   /// Connections opened since the start, and idle ones in the pool now.
-  std::uint64_t opened() const;
-  std::size_t kept() const;
+  std::uint64_t connectionsOpened() const;
+  std::size_t idleConnectionCount() const;
 
  private:
   struct State;
--- a/src/io/http_listener.cc
+++ b/src/io/http_listener.cc
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr Duration kTick = milliseconds(100);
-constexpr Duration kLeavingIdle = milliseconds(300);  // a request may be in transit
-constexpr Duration kLinger = seconds(1);
+constexpr Duration kTickInterval = milliseconds(100);
+constexpr Duration kDrainIdleTimeout = milliseconds(300);  // a request may be in transit
+constexpr Duration kLingerTimeout = seconds(1);
 
 }  // namespace
 
 struct HttpListener::State {
-  State(Loop& loop, const Dialect& dialect, Hooks hooks)
-      : context(loop, dialect, std::move(hooks)) {}
+  State(EventLoop& loop, const Dialect& dialect, Handlers handlers)
+      : context(loop, dialect, std::move(handlers)) {}
   ListenerContext context;
   evconnlistener* listener = nullptr;
-  bool listening = true;
+  bool accepting = true;
 
   static void onFlush(evutil_socket_t, short, void* argument) {
     auto& context = static_cast<State*>(argument)->context;
-    std::vector<std::shared_ptr<ListenerConnection>> dirty;
-    dirty.swap(context.dirty);
-    for (auto& connection : dirty) connection->flush();
+    std::vector<std::shared_ptr<ListenerConnection>> connections;
+    connections.swap(context.flushQueue);
+    for (auto& connection : connections) connection->flush();
   }
   static void onTick(evutil_socket_t, short, void* argument) {
     static_cast<State*>(argument)->tick();
@@ -37,7 +37,7 @@
   static void onAccept(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int,
                        void* argument) {
     auto& context = static_cast<State*>(argument)->context;
-    HttpSocket::setAccepted(descriptor);
+    HttpSocket::configureAccepted(descriptor);
     auto connection = std::make_shared<ListenerConnection>(context, descriptor);
     context.connections.emplace(connection.get(), connection);
     connection->start();
@@ -48,58 +48,58 @@
     if (errno != EMFILE && errno != ENFILE && errno != ENOBUFS && errno != ENOMEM) return;
     // Closes the longest idle connection for the new one; without any, accepting pauses for a tick.
     auto& idle = state->context.waits[static_cast<std::size_t>(ConnectionWait::kIdle)];
-    if (!idle.empty()) return idle.front().overdue();
+    if (!idle.empty()) return idle.front().onTimeout();
     evconnlistener_disable(listener);
-    state->listening = false;
+    state->accepting = false;
     startTick(state->context);
   }
   static void startTick(ListenerContext& context) {
-    timeval pace{0, static_cast<suseconds_t>(kTick.microseconds)};
-    event_add(&context.tickEvent, &pace);
+    timeval interval{0, static_cast<suseconds_t>(kTickInterval.microseconds)};
+    event_add(&context.tickEvent, &interval);
   }
   void tick() {
-    if (!listening) {
-      listening = true;
+    if (!accepting) {
+      accepting = true;
       evconnlistener_enable(listener);
     }
     MonotonicTime now = bootNow();
     for (std::size_t kind = 0; kind < context.waits.size(); ++kind) {
-      auto longest = context.longest(static_cast<ConnectionWait>(kind));
+      auto timeout = context.timeoutOf(static_cast<ConnectionWait>(kind));
       auto& list = context.waits[kind];
-      while (!list.empty() && now - list.front().since >= longest) list.front().overdue();
+      while (!list.empty() && now - list.front().waitingSince >= timeout) list.front().onTimeout();
     }
     if (context.connections.empty()) event_del(&context.tickEvent);
   }
-  ListenerConnection* of(RequestId request) {
-    auto found = context.answering.find(request.value);
-    return found == context.answering.end() ? nullptr : found->second;
+  ListenerConnection* connectionOf(RequestId request) {
+    auto found = context.activeRequests.find(request.value);
+    return found == context.activeRequests.end() ? nullptr : found->second;
   }
 };
 
-void ListenerContext::flushSoon(ListenerConnection& connection) {
-  if (!connection.markDirty()) return;
-  dirty.push_back(connection.shared_from_this());
+void ListenerContext::scheduleFlush(ListenerConnection& connection) {
+  if (!connection.markFlushScheduled()) return;
+  flushQueue.push_back(connection.shared_from_this());
   event_active(&flushEvent, EV_TIMEOUT, 0);
 }
 
-Duration ListenerContext::longest(ConnectionWait wait) const {
+Duration ListenerContext::timeoutOf(ConnectionWait wait) const {
   switch (wait) {
     case ConnectionWait::kIdle:
-      return leaving ? kLeavingIdle : limits.idle;
+      return draining ? kDrainIdleTimeout : limits.idle;
     case ConnectionWait::kHead:
       return limits.headerWait;
     case ConnectionWait::kBody:
     case ConnectionWait::kWrite:
       return limits.idle;
     case ConnectionWait::kLinger:
-    case ConnectionWait::kNothing:
+    case ConnectionWait::kNone:
       break;
   }
-  return kLinger;
+  return kLingerTimeout;
 }
 
-HttpListener::HttpListener(Loop& loop, const Dialect& dialect, Hooks hooks)
-    : state_(std::make_unique<State>(loop, dialect, std::move(hooks))) {
+HttpListener::HttpListener(EventLoop& loop, const Dialect& dialect, Handlers handlers)
+    : state_(std::make_unique<State>(loop, dialect, std::move(handlers))) {
   event_assign(&state_->context.flushEvent, loop.base(), -1, 0, &State::onFlush, state_.get());
   event_assign(&state_->context.tickEvent, loop.base(), -1, EV_PERSIST, &State::onTick,
                state_.get());
@@ -112,47 +112,49 @@
 }
 
 absl::Status HttpListener::listen(const Address& address) {
-  sockaddr_in place{};
-  if (!parseAddress(address.value, place))
+  sockaddr_in socketAddress{};
+  if (!parseAddress(address.value, socketAddress))
     return absl::InvalidArgumentError("'" + address.value + "' is not a valid address");
-  state_->listener =
-      evconnlistener_new_bind(state_->context.loop.base(), &State::onAccept, state_.get(),
-                              LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-                              kBacklog, reinterpret_cast<sockaddr*>(&place), sizeof place);
+  state_->listener = evconnlistener_new_bind(
+      state_->context.loop.base(), &State::onAccept, state_.get(),
+      LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, kBacklog,
+      reinterpret_cast<sockaddr*>(&socketAddress), sizeof socketAddress);
   if (state_->listener == nullptr)
     return absl::UnavailableError("cannot listen on " + address.value + ": " + strerror(errno));
   evconnlistener_set_error_cb(state_->listener, &State::onAcceptError);
   return absl::OkStatus();
 }
 
-void HttpListener::limits(const RequestLimits& limits) { state_->context.limits = limits; }
+void HttpListener::setLimits(const RequestLimits& limits) { state_->context.limits = limits; }
 
-void HttpListener::answer(const AnswerHead& command) {
-  if (auto* connection = state_->of(command.request); connection != nullptr && command.head)
-    connection->answerHead(*command.head);
+void HttpListener::respond(const ForwardResponseHead& command) {
+  if (auto* connection = state_->connectionOf(command.request);
+      connection != nullptr && command.head)
+    connection->sendHead(*command.head);
 }
-void HttpListener::answer(const AnswerBody& command) {
-  if (auto* connection = state_->of(command.request)) connection->answerBody(command.bytes);
+void HttpListener::respond(const ForwardResponseBody& command) {
+  if (auto* connection = state_->connectionOf(command.request)) connection->sendBody(command.bytes);
 }
-void HttpListener::answer(const AnswerDone& command) {
-  if (auto* connection = state_->of(command.request)) connection->answerDone(command.whole);
+void HttpListener::respond(const FinishResponse& command) {
+  if (auto* connection = state_->connectionOf(command.request))
+    connection->finishResponse(command.complete);
 }
-void HttpListener::answer(const RefuseRequest& command) {
-  if (auto* connection = state_->of(command.request)) connection->refuse(command);
+void HttpListener::respond(const RejectRequest& command) {
+  if (auto* connection = state_->connectionOf(command.request)) connection->refuse(command);
 }
 
-bool HttpListener::clientPresent(RequestId request) {
-  auto* connection = state_->of(request);
-  return connection != nullptr && connection->clientPresent();
+bool HttpListener::isClientConnected(RequestId request) {
+  auto* connection = state_->connectionOf(request);
+  return connection != nullptr && connection->isClientConnected();
 }
 
-void HttpListener::leave() { state_->context.leaving = true; }
+void HttpListener::drain() { state_->context.draining = true; }
 
-void HttpListener::close() {
+void HttpListener::stopAccepting() {
   if (state_->listener != nullptr) evconnlistener_free(state_->listener);
   state_->listener = nullptr;
 }
 
-std::size_t HttpListener::connections() const { return state_->context.connections.size(); }
+std::size_t HttpListener::connectionCount() const { return state_->context.connections.size(); }
 
 }  // namespace peppergate
--- a/src/io/http_listener_connection.h
+++ b/src/io/http_listener_connection.h
@@ -15,7 +15,7 @@
 namespace peppergate {
 
 /// What a connection waits for. Each kind of wait has one timeout, so its list is ordered by age.
-enum class ConnectionWait : std::uint8_t { kIdle = 0, kHead, kBody, kWrite, kLinger, kNothing };
+enum class ConnectionWait : std::uint8_t { kIdle = 0, kHead, kBody, kWrite, kLinger, kNone };
 
 class ListenerConnection;
 
@@ -23,8 +23,8 @@
 struct WaitingConnection
     : boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
   /// The wait has timed out; the handler must end it or restart it.
-  virtual void overdue() = 0;
-  MonotonicTime since;
+  virtual void onTimeout() = 0;
+  MonotonicTime waitingSince;
 
  protected:
   ~WaitingConnection() = default;
@@ -34,24 +34,24 @@
 struct ListenerContext {
   using WaitList =
       boost::intrusive::list<WaitingConnection, boost::intrusive::constant_time_size<false>>;
-  ListenerContext(Loop& loop, const Dialect& dialect, HttpListener::Hooks hooks)
-      : loop(loop), dialect(dialect), hooks(std::move(hooks)), buffer(64U << 10) {}
+  ListenerContext(EventLoop& loop, const Dialect& dialect, HttpListener::Handlers handlers)
+      : loop(loop), dialect(dialect), handlers(std::move(handlers)), readBuffer(64U << 10) {}
   /// Schedules a write of the connection's output after the current event.
-  void flushSoon(ListenerConnection& connection);
+  void scheduleFlush(ListenerConnection& connection);
   /// The timeout of a kind of wait.
-  Duration longest(ConnectionWait wait) const;
+  Duration timeoutOf(ConnectionWait wait) const;
 
-  Loop& loop;
+  EventLoop& loop;
   const Dialect& dialect;
-  HttpListener::Hooks hooks;
+  HttpListener::Handlers handlers;
   RequestLimits limits;
-  bool leaving = false;
-  std::uint64_t lastRequest = 0;
-  std::vector<char> buffer;  // for one read
+  bool draining = false;
+  std::uint64_t lastRequestId = 0;
+  std::vector<char> readBuffer;  // for one read
   std::unordered_map<ListenerConnection*, std::shared_ptr<ListenerConnection>> connections;
-  std::unordered_map<std::uint64_t, ListenerConnection*> answering;
-  std::array<WaitList, static_cast<std::size_t>(ConnectionWait::kNothing)> waits;
-  std::vector<std::shared_ptr<ListenerConnection>> dirty;
+  std::unordered_map<std::uint64_t, ListenerConnection*> activeRequests;
+  std::array<WaitList, static_cast<std::size_t>(ConnectionWait::kNone)> waits;
+  std::vector<std::shared_ptr<ListenerConnection>> flushQueue;
   event flushEvent, tickEvent;
 };
 
@@ -62,51 +62,51 @@
  public:
   ListenerConnection(ListenerContext& context, int descriptor);
   void start();
-  void readable() override;
-  void writable() override;
-  void peerClosed() override;
+  void onReadable() override;
+  void onWritable() override;
+  void onPeerClosed() override;
 
-  void answerHead(const WireHead& head);
-  void answerBody(std::string_view bytes);
-  void answerDone(bool whole);
-  void refuse(const RefuseRequest& refusal);
+  void sendHead(const WireHead& head);
+  void sendBody(std::string_view bytes);
+  void finishResponse(bool complete);
+  void refuse(const RejectRequest& refusal);
   /// Whether the client is still connected; detects a close that was received but not read yet. If
   /// the client has left, its request is cancelled.
-  bool clientPresent();
+  bool isClientConnected();
   /// Writes the pending output, then reads the next request. Called by the context only.
   void flush();
   /// False if a flush is scheduled already. Called by the context only.
-  bool markDirty() { return !std::exchange(dirty_, true); }
-  void overdue() override;
+  bool markFlushScheduled() { return !std::exchange(flushScheduled_, true); }
+  void onTimeout() override;
 
  private:
-  enum class Phase : std::uint8_t { kHead, kBody, kAnswering, kEnding, kLinger, kClosed };
-  void take(std::string_view bytes);
-  bool takeHead(std::string_view& bytes);
-  bool takeBody(std::string_view& bytes);
-  bool headDone(std::string_view text);
-  void askForBody();
+  enum class Phase : std::uint8_t { kHead, kBody, kResponding, kClosing, kLinger, kClosed };
+  void handleBytes(std::string_view bytes);
+  bool readHead(std::string_view& bytes);
+  bool readBody(std::string_view& bytes);
+  bool handleHead(std::string_view text);
+  void sendContinue();
   void pauseReading();
-  void arrived();
-  void fillEvent(RequestArrived& event) const;
-  void turnAway(int status, std::string_view kind);
-  void writeRefusal(const RefuseRequest& refusal, const std::string& clientId, bool close);
-  void endAnswer();
+  void dispatchRequest();
+  void fillRequestEvent(RequestArrived& event) const;
+  void rejectUnread(int status, std::string_view reason);
+  void writeRefusal(const RejectRequest& refusal, const std::string& clientId, bool close);
+  void endResponse();
   void closeAfterOutput(bool linger);
-  void ended();
-  void failed();
-  void drop();
-  void waitFor(ConnectionWait wait);
-  void chooseWait();
-  void watchOutput();
+  void handlePeerClose();
+  void handleFailure();
+  void closeNow();
+  void startWait(ConnectionWait wait);
+  void updateWait();
+  void checkOutput();
 
   ListenerContext& context_;
   HttpSocket socket_;
   Phase phase_ = Phase::kHead;
-  ConnectionWait waiting_ = ConnectionWait::kNothing;
-  std::string rest_;     // received bytes that were not parsed yet
-  std::string pending_;  // response bytes that were not passed to the socket yet
-  bool dirty_ = false, readEnded_ = false, linger_ = false;
+  ConnectionWait wait_ = ConnectionWait::kNone;
+  std::string unparsed_;  // received bytes that were not parsed yet
+  std::string output_;    // response bytes that were not passed to the socket yet
+  bool flushScheduled_ = false, readEnded_ = false, linger_ = false;
   // The current request.
   HeadScanner scanner_;
   HttpHead head_;
@@ -116,8 +116,8 @@
   std::string clientId_;
   // Its response.
   BodyFraming framing_ = BodyFraming::kNone;
-  std::uint64_t left_ = 0;  // of a response with a Content-Length
-  bool headSent_ = false, closeAfter_ = false, slow_ = false;
+  std::uint64_t remainingLength_ = 0;  // of a response with a Content-Length
+  bool headSent_ = false, closeAfter_ = false, hasBackpressure_ = false;
 };
 
 }  // namespace peppergate
--- a/src/io/http_socket.cc
+++ b/src/io/http_socket.cc
@@ -21,11 +21,11 @@
 
 // A machine that lost power sends no FIN; unacknowledged data or probes end the connection instead.
 constexpr int kUserTimeoutMilliseconds = 3000;
-constexpr int kProbeAfterSeconds = 2;
-constexpr int kProbePaceSeconds = 1;
-constexpr int kProbes = 3;
+constexpr int kKeepAliveIdleSeconds = 2;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbes = 3;
 
-bool again(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
+bool wouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK || error == EINTR; }
 
 }  // namespace
 
@@ -42,8 +42,8 @@
 }
 
 int HttpSocket::connectTo(const Address& address) {
-  sockaddr_in place{};
-  if (!parseAddress(address.value, place)) {
+  sockaddr_in socketAddress{};
+  if (!parseAddress(address.value, socketAddress)) {
     errno = EINVAL;
     return -1;
   }
@@ -52,10 +52,10 @@
   setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
   setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMilliseconds);
   setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-  setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
-  setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbePaceSeconds);
-  setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  if (connect(descriptor, reinterpret_cast<sockaddr*>(&place), sizeof place) == 0 ||
+  setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+  setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+  setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
+  if (connect(descriptor, reinterpret_cast<sockaddr*>(&socketAddress), sizeof socketAddress) == 0 ||
       errno == EINPROGRESS)
     return descriptor;
   int error = errno;
@@ -64,56 +64,58 @@
   return -1;
 }
 
-void HttpSocket::setAccepted(int descriptor) { setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1); }
+void HttpSocket::configureAccepted(int descriptor) {
+  setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
+}
 
 void HttpSocket::onRead(evutil_socket_t, short, void* socket) {
-  static_cast<HttpSocket*>(socket)->owner_.readable();
+  static_cast<HttpSocket*>(socket)->owner_.onReadable();
 }
 void HttpSocket::onWrite(evutil_socket_t, short, void* socket) {
-  static_cast<HttpSocket*>(socket)->owner_.writable();
+  static_cast<HttpSocket*>(socket)->owner_.onWritable();
 }
 void HttpSocket::onClose(evutil_socket_t, short, void* socket) {
-  static_cast<HttpSocket*>(socket)->owner_.peerClosed();
+  static_cast<HttpSocket*>(socket)->owner_.onPeerClosed();
 }
 
-void HttpSocket::watchRead(bool wanted) {
-  if (!open() || wanted == reading_) return;
-  reading_ = wanted;
-  if (wanted) event_add(&readEvent_, nullptr);
+void HttpSocket::watchRead(bool enabled) {
+  if (!isOpen() || enabled == watchesRead_) return;
+  watchesRead_ = enabled;
+  if (enabled) event_add(&readEvent_, nullptr);
   else event_del(&readEvent_);
 }
 
-void HttpSocket::watchWrite(bool wanted) {
-  if (!open() || wanted == writing_) return;
-  writing_ = wanted;
-  if (wanted) event_add(&writeEvent_, nullptr);
+void HttpSocket::watchWrite(bool enabled) {
+  if (!isOpen() || enabled == watchesWrite_) return;
+  watchesWrite_ = enabled;
+  if (enabled) event_add(&writeEvent_, nullptr);
   else event_del(&writeEvent_);
 }
 
-void HttpSocket::watchClose(bool wanted) {
-  if (!open() || wanted == awaitingClose_) return;
+void HttpSocket::watchClose(bool enabled) {
+  if (!isOpen() || enabled == watchesClose_) return;
   int features = event_base_get_features(event_get_base(&closeEvent_));
   if ((features & EV_FEATURE_EARLY_CLOSE) == 0) return;
-  awaitingClose_ = wanted;
-  if (wanted) event_add(&closeEvent_, nullptr);
+  watchesClose_ = enabled;
+  if (enabled) event_add(&closeEvent_, nullptr);
   else event_del(&closeEvent_);
 }
 
 HttpSocket::ReadResult HttpSocket::read(std::span<char> into) {
-  if (!open()) return {ReadOutcome::kFailed, 0};
+  if (!isOpen()) return {ReadStatus::kFailed, 0};
   ssize_t size = recv(descriptor_, into.data(), into.size(), 0);
-  if (size > 0) return {ReadOutcome::kBytes, static_cast<std::size_t>(size)};
-  if (size == 0) return {ReadOutcome::kEnd, 0};
-  return {again(errno) ? ReadOutcome::kNothing : ReadOutcome::kFailed, 0};
+  if (size > 0) return {ReadStatus::kBytes, static_cast<std::size_t>(size)};
+  if (size == 0) return {ReadStatus::kEnd, 0};
+  return {wouldBlock(errno) ? ReadStatus::kWouldBlock : ReadStatus::kFailed, 0};
 }
 
 bool HttpSocket::send(std::string_view text) {
-  if (!open()) return false;
-  if (waiting() == 0) {
+  if (!isOpen()) return false;
+  if (unsentBytes() == 0) {
     ssize_t size = ::send(descriptor_, text.data(), text.size(), MSG_NOSIGNAL);
-    if (size < 0 && !again(errno)) return false;
+    if (size < 0 && !wouldBlock(errno)) return false;
     if (size > 0) {
-      handed_ += static_cast<std::uint64_t>(size);
+      bytesSent_ += static_cast<std::uint64_t>(size);
       text.remove_prefix(static_cast<std::size_t>(size));
     }
   }
@@ -126,43 +128,43 @@
 
 bool HttpSocket::flush() {
   // evbuffer_write would raise SIGPIPE if the connection is closed.
-  while (waiting() > 0) {
+  while (unsentBytes() > 0) {
     std::array<evbuffer_iovec, 16> parts;
     int count = evbuffer_peek(output_, -1, nullptr, parts.data(), parts.size());
     msghdr message{};
     message.msg_iov = parts.data();
     message.msg_iovlen = std::min<std::size_t>(static_cast<std::size_t>(count), parts.size());
     ssize_t size = sendmsg(descriptor_, &message, MSG_NOSIGNAL);
-    if (size < 0 && again(errno)) return true;
+    if (size < 0 && wouldBlock(errno)) return true;
     if (size <= 0) return false;
-    handed_ += static_cast<std::uint64_t>(size);
+    bytesSent_ += static_cast<std::uint64_t>(size);
     evbuffer_drain(output_, static_cast<std::size_t>(size));
   }
   watchWrite(false);
   return true;
 }
 
-void HttpSocket::dropOutput() {
+void HttpSocket::discardOutput() {
   if (output_ != nullptr) evbuffer_drain(output_, evbuffer_get_length(output_));
   watchWrite(false);
 }
 
-std::size_t HttpSocket::waiting() const {
+std::size_t HttpSocket::unsentBytes() const {
   return output_ == nullptr ? 0 : evbuffer_get_length(output_);
 }
 
-HttpSocket::ReadOutcome HttpSocket::peek() const {
-  if (!open()) return ReadOutcome::kFailed;
+HttpSocket::ReadStatus HttpSocket::peek() const {
+  if (!isOpen()) return ReadStatus::kFailed;
   char byte = 0;
   ssize_t size = recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (size > 0) return ReadOutcome::kBytes;
-  if (size == 0) return ReadOutcome::kEnd;
-  return again(errno) ? ReadOutcome::kNothing : ReadOutcome::kFailed;
+  if (size > 0) return ReadStatus::kBytes;
+  if (size == 0) return ReadStatus::kEnd;
+  return wouldBlock(errno) ? ReadStatus::kWouldBlock : ReadStatus::kFailed;
 }
 
-bool HttpSocket::quiet() const { return peek() == ReadOutcome::kNothing; }
+bool HttpSocket::isOpenAndIdle() const { return peek() == ReadStatus::kWouldBlock; }
 
-int HttpSocket::takeError() const {
+int HttpSocket::pendingError() const {
   int error = 0;
   socklen_t size = sizeof error;
   if (getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
@@ -170,17 +172,17 @@
 }
 
 void HttpSocket::shutdownWrite() {
-  if (open()) shutdown(descriptor_, SHUT_WR);
+  if (isOpen()) shutdown(descriptor_, SHUT_WR);
 }
 
 void HttpSocket::close(bool reset) {
-  if (!open()) return;
+  if (!isOpen()) return;
   watchRead(false);
   watchWrite(false);
   watchClose(false);
   if (reset) {
-    linger hard{1, 0};
-    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    linger zeroLinger{1, 0};
+    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &zeroLinger, sizeof zeroLinger);
   }
   ::close(descriptor_);
   descriptor_ = -1;
--- a/src/io/loop.cc
+++ b/src/io/loop.cc
@@ -15,13 +15,13 @@
 
 constexpr int kPriorities = 2;
 
-struct Once {
-  std::function<void()> what;
+struct OneTimeCallback {
+  std::function<void()> callback;
 };
 
 void runOnce(evutil_socket_t, short, void* argument) {
-  std::unique_ptr<Once> once(static_cast<Once*>(argument));
-  once->what();
+  std::unique_ptr<OneTimeCallback> once(static_cast<OneTimeCallback*>(argument));
+  once->callback();
 }
 
 void runFunction(evutil_socket_t, short, void* argument) {
@@ -36,65 +36,65 @@
   return {static_cast<std::int64_t>(now.tv_sec) * 1'000'000 + now.tv_nsec / 1000};
 }
 
-Loop::Loop() {
+EventLoop::EventLoop() {
   evthread_use_pthreads();
   base_ = event_base_new();
   if (base_ == nullptr) throw std::runtime_error("cannot create the libevent base");
   event_base_priority_init(base_, kPriorities);  // the default is the middle one: the second
-  static constexpr auto kTakeMail = [](evutil_socket_t, short, void* loop) {
-    static_cast<Loop*>(loop)->takeMail();
+  static constexpr auto kRunPosted = [](evutil_socket_t, short, void* loop) {
+    static_cast<EventLoop*>(loop)->runPosted();
   };
-  mailEvent_ = event_new(base_, -1, EV_PERSIST, kTakeMail, this);
-  event_add(mailEvent_, nullptr);
+  postedEvent_ = event_new(base_, -1, EV_PERSIST, kRunPosted, this);
+  event_add(postedEvent_, nullptr);
 }
 
-Loop::~Loop() {
-  event_free(mailEvent_);
-  for (auto& entry : repeating_) event_free(entry->timer);
+EventLoop::~EventLoop() {
+  event_free(postedEvent_);
+  for (auto& entry : repeatingEvents_) event_free(entry->timer);
   event_base_free(base_);
 }
 
-void Loop::every(Duration pace, std::function<void()> what) {
-  auto entry = std::make_unique<Repeating>();
-  entry->what = std::move(what);
-  entry->timer = event_new(base_, -1, EV_PERSIST, &runFunction, &entry->what);
-  event_priority_set(entry->timer, kMembers);  // must not wait for clients' requests
-  timeval time = toTimeval(pace);
+void EventLoop::runEvery(Duration interval, std::function<void()> callback) {
+  auto entry = std::make_unique<RepeatingEvent>();
+  entry->callback = std::move(callback);
+  entry->timer = event_new(base_, -1, EV_PERSIST, &runFunction, &entry->callback);
+  event_priority_set(entry->timer, kMemberPriority);  // must not wait for clients' requests
+  timeval time = toTimeval(interval);
   event_add(entry->timer, &time);
-  repeating_.push_back(std::move(entry));
+  repeatingEvents_.push_back(std::move(entry));
 }
 
-void Loop::after(Duration delay, std::function<void()> what) {
+void EventLoop::runAfter(Duration delay, std::function<void()> callback) {
   timeval time = toTimeval(delay);
-  event_base_once(base_, -1, EV_TIMEOUT, &runOnce, new Once{std::move(what)}, &time);
+  event_base_once(base_, -1, EV_TIMEOUT, &runOnce, new OneTimeCallback{std::move(callback)}, &time);
 }
 
-void Loop::post(std::function<void()> what) {
+void EventLoop::post(std::function<void()> callback) {
   {
     std::lock_guard lock(mutex_);
-    mail_.push_back(std::move(what));
+    posted_.push_back(std::move(callback));
   }
-  event_active(mailEvent_, EV_TIMEOUT, 0);
+  event_active(postedEvent_, EV_TIMEOUT, 0);
 }
 
-void Loop::takeMail() {
-  std::deque<std::function<void()>> mail;
+void EventLoop::runPosted() {
+  std::deque<std::function<void()>> posted;
   {
     std::lock_guard lock(mutex_);
-    mail.swap(mail_);
+    posted.swap(posted_);
   }
-  for (auto& what : mail) what();
+  for (auto& callback : posted) callback();
 }
 
-void Loop::onSignal(int signal, std::function<void()> what) {
-  auto entry = std::make_unique<Repeating>();
-  entry->what = std::move(what);
-  entry->timer = event_new(base_, signal, EV_SIGNAL | EV_PERSIST, &runFunction, &entry->what);
+void EventLoop::onSignal(int signal, std::function<void()> callback) {
+  auto entry = std::make_unique<RepeatingEvent>();
+  entry->callback = std::move(callback);
+  entry->timer = event_new(base_, signal, EV_SIGNAL | EV_PERSIST, &runFunction, &entry->callback);
   event_add(entry->timer, nullptr);
-  repeating_.push_back(std::move(entry));
+  repeatingEvents_.push_back(std::move(entry));
 }
 
-void Loop::run() { event_base_dispatch(base_); }
-void Loop::stop() { event_base_loopbreak(base_); }
+void EventLoop::run() { event_base_dispatch(base_); }
+void EventLoop::stop() { event_base_loopbreak(base_); }
 
 }  // namespace peppergate
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -16,43 +16,43 @@
 MonotonicTime bootNow();
 
 /// A libevent loop. All callbacks run on the thread that runs the loop.
-class Loop {
+class EventLoop {
  public:
-  Loop();
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  EventLoop();
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   event_base* base() const { return base_; }
   /// Priority of events of fleet members. They are handled before all other ready events, so a loop
   /// that is behind with clients' requests still receives messages from its leader.
-  static constexpr int kMembers = 0;
+  static constexpr int kMemberPriority = 0;
   /// Calls the callback periodically.
-  void every(Duration pace, std::function<void()> what);
+  void runEvery(Duration interval, std::function<void()> callback);
   /// Calls the callback once, after a delay.
-  void after(Duration delay, std::function<void()> what);
+  void runAfter(Duration delay, std::function<void()> callback);
   /// Calls the callback once the current event has been handled, for instance to free a connection
   /// that is still in use.
-  void soon(std::function<void()> what) { after(Duration{}, std::move(what)); }
+  void runSoon(std::function<void()> callback) { runAfter(Duration{}, std::move(callback)); }
   /// Runs the callback on the loop's thread; may be called from any thread.
-  void post(std::function<void()> what);
+  void post(std::function<void()> callback);
   /// Calls the callback on each signal of this number.
-  void onSignal(int signal, std::function<void()> what);
+  void onSignal(int signal, std::function<void()> callback);
   void run();
   void stop();
 
  private:
-  struct Repeating {
-    std::function<void()> what;
+  struct RepeatingEvent {
+    std::function<void()> callback;
     event* timer = nullptr;
   };
-  void takeMail();
+  void runPosted();
 
   event_base* base_;
-  std::vector<std::unique_ptr<Repeating>> repeating_;
+  std::vector<std::unique_ptr<RepeatingEvent>> repeatingEvents_;
   std::mutex mutex_;
-  std::deque<std::function<void()>> mail_;
-  event* mailEvent_ = nullptr;
+  std::deque<std::function<void()>> posted_;
+  event* postedEvent_ = nullptr;
 };
 
 }  // namespace peppergate
--- a/src/io/loop_lag.h
+++ b/src/io/loop_lag.h
@@ -11,18 +11,19 @@
 class LoopLag {
  public:
   /// Takes the time between two ticks of a loop that is on time.
-  explicit LoopLag(Duration pace) : pace_(pace) {}
+  explicit LoopLag(Duration interval) : interval_(interval) {}
 
   /// Called on each tick; returns how late the tick is.
   Duration tick(MonotonicTime now) {
-    Duration late = last_ == kNever ? Duration{} : std::max(Duration{}, now - last_ - pace_);
-    last_ = now;
+    Duration late =
+        lastTickAt_ == kNever ? Duration{} : std::max(Duration{}, now - lastTickAt_ - interval_);
+    lastTickAt_ = now;
     return late;
   }
 
  private:
-  Duration pace_;
-  MonotonicTime last_ = kNever;
+  Duration interval_;
+  MonotonicTime lastTickAt_ = kNever;
 };
 
 }  // namespace peppergate
--- a/src/io/member_hub.h
+++ b/src/io/member_hub.h
@@ -19,11 +19,11 @@
 namespace peppergate {
 
 /// Sends messages to other members and passes received ones to a handler.
-class MemberHub {
+class MemberTransport {
  public:
-  using Taker = std::function<void(const Address& from, Message message)>;
-  MemberHub(Loop& loop, Address self, std::string_view fleet, Taker taker);
-  ~MemberHub();
+  using MessageHandler = std::function<void(const Address& from, Message message)>;
+  MemberTransport(EventLoop& loop, Address self, std::string_view fleet, MessageHandler handler);
+  ~MemberTransport();
 
   /// Starts to listen for other members; fails if the port is in use.
   absl::Status listen();
@@ -33,34 +33,34 @@
   /// Sends to several members; the message is encoded once.
   void broadcast(const std::vector<Address>& to, const Message& message);
   /// Fault injection: exchanges no messages with these addresses, instead of those set before.
-  void cut(std::set<std::string> addresses) { cut_ = std::move(addresses); }
+  void blockAddresses(std::set<std::string> addresses) { blockedAddresses_ = std::move(addresses); }
   /// Counts of frames and connections that were not accepted or not sent, by kind of fault.
-  const std::map<std::string, std::uint64_t>& faults() const { return faults_; }
+  const std::map<std::string, std::uint64_t>& faultCounts() const { return faultCounts_; }
   /// What was queued to other members of one kind of message; the bytes include frame headers.
-  struct Sent {
+  struct SentCounts {
     std::uint64_t messages = 0, bytes = 0;
   };
-  const std::array<Sent, kMessageKinds>& sent() const { return sent_; }
+  const std::array<SentCounts, kMessageKinds>& sentByKind() const { return sentByKind_; }
 
  private:
-  struct Outgoing;
-  struct Incoming;
-  void takeFrames(Incoming& incoming);
+  struct OutgoingConnection;
+  struct IncomingConnection;
+  void readFrames(IncomingConnection& incoming);
   bufferevent* connectionTo(const Address& to);
   void queue(const Address& to, const std::string& frame, std::size_t kind);
-  void close(Incoming& incoming);
-  void fault(std::string_view what);
+  void close(IncomingConnection& incoming);
+  void countFault(std::string_view kind);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Address self_;
-  std::uint64_t mark_;
-  Taker taker_;
+  std::uint64_t fleetMark_;
+  MessageHandler handler_;
   evconnlistener* listener_ = nullptr;
-  std::map<Address, std::unique_ptr<Outgoing>> outgoing_;
-  std::map<bufferevent*, std::unique_ptr<Incoming>> incoming_;
-  std::set<std::string> cut_;
-  std::map<std::string, std::uint64_t> faults_;
-  std::array<Sent, kMessageKinds> sent_;
+  std::map<Address, std::unique_ptr<OutgoingConnection>> outgoing_;
+  std::map<bufferevent*, std::unique_ptr<IncomingConnection>> incoming_;
+  std::set<std::string> blockedAddresses_;
+  std::map<std::string, std::uint64_t> faultCounts_;
+  std::array<SentCounts, kMessageKinds> sentByKind_;
 };
 
 /// Parses an IPv4 address with a port, such as "127.0.0.1:7000"; false if it is invalid.
--- a/src/io/web_client.cc
+++ b/src/io/web_client.cc
@@ -9,44 +9,46 @@
 
 namespace peppergate {
 
-void EventReader::feed(std::string_view text, const std::function<void(const OneEvent&)>& take) {
-  rest_ += text;
+void ServerSentEventParser::feed(std::string_view text,
+                                 const std::function<void(const ServerSentEvent&)>& onEvent) {
+  unparsed_ += text;
   std::size_t start = 0;
-  for (auto end = rest_.find("\n\n"); end != std::string::npos; end = rest_.find("\n\n", start)) {
-    OneEvent event;
-    std::string block = rest_.substr(start, end - start);
+  for (auto end = unparsed_.find("\n\n"); end != std::string::npos;
+       end = unparsed_.find("\n\n", start)) {
+    ServerSentEvent event;
+    std::string block = unparsed_.substr(start, end - start);
     for (std::size_t line = 0; line < block.size();) {
-      auto stop = std::min(block.find('\n', line), block.size());
-      std::string_view one = std::string_view(block).substr(line, stop - line);
-      if (one.starts_with("id: ")) event.id = one.substr(4);
-      else if (one.starts_with("event: ")) event.event = one.substr(7);
-      else if (one.starts_with("data: ")) event.data += one.substr(6);
-      line = stop + 1;
+      auto lineEnd = std::min(block.find('\n', line), block.size());
+      std::string_view field = std::string_view(block).substr(line, lineEnd - line);
+      if (field.starts_with("id: ")) event.id = field.substr(4);
+      else if (field.starts_with("event: ")) event.event = field.substr(7);
+      else if (field.starts_with("data: ")) event.data += field.substr(6);
+      line = lineEnd + 1;
     }
-    take(event);
+    onEvent(event);
     start = end + 2;
   }
-  rest_.erase(0, start);
+  unparsed_.erase(0, start);
 }
 
 namespace {
 
-struct Place {
+struct HostAndPort {
   std::string host;
   std::uint16_t port = 0;
 };
 
-Place placeOf(const Address& address) {
+HostAndPort splitAddress(const Address& address) {
   auto colon = address.value.find(':');
   if (colon == std::string::npos) return {};
   return {address.value.substr(0, colon),
           static_cast<std::uint16_t>(std::atoi(address.value.c_str() + colon + 1))};
 }
 
-evhttp_connection* connectTo(Loop& loop, const Address& address, Duration timeout) {
-  Place place = placeOf(address);
+evhttp_connection* connectTo(EventLoop& loop, const Address& address, Duration timeout) {
+  HostAndPort endpoint = splitAddress(address);
   evhttp_connection* connection =
-      evhttp_connection_base_new(loop.base(), nullptr, place.host.c_str(), place.port);
+      evhttp_connection_base_new(loop.base(), nullptr, endpoint.host.c_str(), endpoint.port);
   timeval time{static_cast<time_t>(timeout.microseconds / 1'000'000),
                static_cast<suseconds_t>(timeout.microseconds % 1'000'000)};
   evhttp_connection_set_timeout_tv(connection, &time);
@@ -69,18 +71,18 @@
 // back if the write deadline has passed.
 struct WriteGuard {
   bufferevent* connection = nullptr;
-  MonotonicTime writeBefore = kForever;
+  MonotonicTime writeDeadline = kForever;
   bool written = false;
-  bool late = false;
-  std::function<void()> onWritten, onLate;
+  bool expired = false;
+  std::function<void()> onWritten, onExpired;
 
   static void onOutput(evbuffer*, const evbuffer_cb_info* info, void* argument) {
     auto* guard = static_cast<WriteGuard*>(argument);
-    if (info->n_added == 0 || guard->written || guard->late) return;
-    if (bootNow() >= guard->writeBefore) {
-      guard->late = true;  // the buffered request is never sent
+    if (info->n_added == 0 || guard->written || guard->expired) return;
+    if (bootNow() >= guard->writeDeadline) {
+      guard->expired = true;  // the buffered request is never sent
       bufferevent_disable(guard->connection, EV_WRITE);
-      if (guard->onLate) guard->onLate();
+      if (guard->onExpired) guard->onExpired();
       return;
     }
     guard->written = true;
@@ -92,7 +94,7 @@
   }
 };
 
-std::string drained(evbuffer* buffer) {
+std::string takeAll(evbuffer* buffer) {
   std::string text(evbuffer_get_length(buffer), '\0');
   evbuffer_remove(buffer, text.data(), text.size());
   return text;
@@ -104,171 +106,175 @@
   WebClient* client = nullptr;
   evhttp_connection* connection = nullptr;
   WriteGuard guard;
-  Taker taker;
+  ResponseHandler handler;
 };
 
-struct WebClient::Shot {
+struct WebClient::StreamAttempt {
   WebClient* client = nullptr;
-  ShotId id;
+  StreamAttemptId id;
   evhttp_connection* connection = nullptr;
   WriteGuard guard;
-  ShotTaker taker;
-  EventReader events;
+  StreamHandler handler;
+  ServerSentEventParser eventParser;
   bool ended = false;
-  std::string echo;
+  std::string echoedRequestId;
 
   // From now on the engine may have received the request, whatever happens next.
-  void tellWritten() { tell({id, ShotTurn::kWritten, {}, {}, {}, 0}); }
-  void tell(const ShotTurned& turned) {
-    if (!ended) taker(turned);
+  void notifyWritten() { notify({id, StreamAttemptEventKind::kWritten, {}, {}, {}, 0}); }
+  void notify(const StreamAttemptEvent& attemptEvent) {
+    if (!ended) handler(attemptEvent);
   }
-  void finish(ShotTurn turn, int status) {
+  void finish(StreamAttemptEventKind kind, int status) {
     if (ended) return;
-    tell({id, turn, {}, {}, echo, status});
+    notify({id, kind, {}, {}, echoedRequestId, status});
     if (!ended) client->cancel(id);
   }
 };
 
 /// libevent callbacks with access to the client's private members.
-struct CallBacks {
-  static void callDone(evhttp_request* request, void* argument) {
+struct WebClientCallbacks {
+  static void onCallDone(evhttp_request* request, void* argument) {
     auto* call = static_cast<WebClient::Call*>(argument);
-    WebResult result;
-    if (request != nullptr && !call->guard.late) {
-      result.status = evhttp_request_get_response_code(request);
-      result.body = drained(evhttp_request_get_input_buffer(request));
+    WebResponse response;
+    if (request != nullptr && !call->guard.expired) {
+      response.status = evhttp_request_get_response_code(request);
+      response.body = takeAll(evhttp_request_get_input_buffer(request));
       evkeyvalq* headers = evhttp_request_get_input_headers(request);
       for (evkeyval* header = headers->tqh_first; header != nullptr; header = header->next.tqe_next)
-        result.headers[header->key] = header->value;
+        response.headers[header->key] = header->value;
     }
     WebClient* client = call->client;
     auto owned = client->calls_.extract(call);
-    client->release(call->connection);
-    call->taker(result);
+    client->freeLater(call->connection);
+    call->handler(response);
     // The connection's buffer refers to the write guard until the connection is freed.
-    auto kept = std::make_shared<std::unique_ptr<WebClient::Call>>(std::move(owned.mapped()));
-    client->loop_.after(milliseconds(1), [kept] {});
+    auto keptCall = std::make_shared<std::unique_ptr<WebClient::Call>>(std::move(owned.mapped()));
+    client->loop_.runAfter(milliseconds(1), [keptCall] {});
   }
-  static void shotEvents(evhttp_request* request, void* argument) {
-    auto shot = static_cast<WebClient::Shot*>(argument)->client->shots_.find(
-        static_cast<WebClient::Shot*>(argument)->id);
-    if (shot == static_cast<WebClient::Shot*>(argument)->client->shots_.end()) return;
-    std::shared_ptr<WebClient::Shot> alive = shot->second;
-    std::string text = drained(evhttp_request_get_input_buffer(request));
+  static void onStreamChunk(evhttp_request* request, void* argument) {
+    auto attempt = static_cast<WebClient::StreamAttempt*>(argument)->client->attempts_.find(
+        static_cast<WebClient::StreamAttempt*>(argument)->id);
+    if (attempt == static_cast<WebClient::StreamAttempt*>(argument)->client->attempts_.end())
+      return;
+    std::shared_ptr<WebClient::StreamAttempt> kept = attempt->second;
+    std::string text = takeAll(evhttp_request_get_input_buffer(request));
     if (evhttp_request_get_response_code(request) != 200) return;
-    alive->events.feed(text, [&](const EventReader::OneEvent& event) {
+    kept->eventParser.feed(text, [&](const ServerSentEventParser::ServerSentEvent& event) {
       if (event.event == "piece")
-        alive->tell({alive->id,
-                     ShotTurn::kPiece,
-                     {std::strtoull(event.id.c_str(), nullptr, 10)},
-                     event.data,
-                     alive->echo,
-                     200});
-      else if (event.event == "end") alive->finish(ShotTurn::kEnded, 200);
-      else if (event.event == "error") alive->finish(ShotTurn::kBroken, 200);
+        kept->notify({kept->id,
+                      StreamAttemptEventKind::kPiece,
+                      {std::strtoull(event.id.c_str(), nullptr, 10)},
+                      event.data,
+                      kept->echoedRequestId,
+                      200});
+      else if (event.event == "end") kept->finish(StreamAttemptEventKind::kEnded, 200);
+      else if (event.event == "error") kept->finish(StreamAttemptEventKind::kBroken, 200);
     });
   }
-  static int shotHeaders(evhttp_request* request, void* argument) {
-    auto* shot = static_cast<WebClient::Shot*>(argument);
-    const char* echo =
+  static int onStreamHead(evhttp_request* request, void* argument) {
+    auto* attempt = static_cast<WebClient::StreamAttempt*>(argument);
+    const char* requestId =
         evhttp_find_header(evhttp_request_get_input_headers(request), "X-Request-Id");
-    shot->echo = echo == nullptr ? "" : echo;
+    attempt->echoedRequestId = requestId == nullptr ? "" : requestId;
     return 0;
   }
-  static void shotDone(evhttp_request* request, void* argument) {
-    auto* shot = static_cast<WebClient::Shot*>(argument);
-    auto found = shot->client->shots_.find(shot->id);
-    if (found == shot->client->shots_.end() || found->second.get() != shot) return;
-    std::shared_ptr<WebClient::Shot> alive = found->second;
+  static void onStreamDone(evhttp_request* request, void* argument) {
+    auto* attempt = static_cast<WebClient::StreamAttempt*>(argument);
+    auto found = attempt->client->attempts_.find(attempt->id);
+    if (found == attempt->client->attempts_.end() || found->second.get() != attempt) return;
+    std::shared_ptr<WebClient::StreamAttempt> kept = found->second;
     int status = request == nullptr ? 0 : evhttp_request_get_response_code(request);
-    if (!alive->guard.written) alive->finish(ShotTurn::kNotWritten, 0);
+    if (!kept->guard.written) kept->finish(StreamAttemptEventKind::kNotWritten, 0);
     else if (status != 0 && status != 200) {
       // Only this header says that the engine did not run the request; otherwise it may have.
-      const char* word =
+      const char* didNotRun =
           evhttp_find_header(evhttp_request_get_input_headers(request), "X-Did-Not-Run");
-      alive->finish(word != nullptr ? ShotTurn::kDeclined : ShotTurn::kBroken, status);
+      kept->finish(didNotRun != nullptr ? StreamAttemptEventKind::kDeclined
+                                        : StreamAttemptEventKind::kBroken,
+                   status);
     } else {
-      alive->finish(ShotTurn::kBroken, status);  // ended without the end event: truncated
+      kept->finish(StreamAttemptEventKind::kBroken,
+                   status);  // ended without the end event: truncated
     }
   }
 };
 
-WebClient::WebClient(Loop& loop) : loop_(loop) {}
+WebClient::WebClient(EventLoop& loop) : loop_(loop) {}
 
 WebClient::~WebClient() {
   for (auto& [key, call] : calls_) evhttp_connection_free(call->connection);
-  for (auto& [id, shot] : shots_) evhttp_connection_free(shot->connection);
+  for (auto& [id, attempt] : attempts_) evhttp_connection_free(attempt->connection);
 }
 
-void WebClient::release(evhttp_connection* connection) {
-  loop_.soon([connection] { evhttp_connection_free(connection); });
+void WebClient::freeLater(evhttp_connection* connection) {
+  loop_.runSoon([connection] { evhttp_connection_free(connection); });
 }
 
-void WebClient::call(const CallWeb& command, Taker taker) {
-  if (cut_.contains(command.address.value)) {
-    loop_.after(command.timeout, [taker = std::move(taker)] { taker({}); });
+void WebClient::call(const CallHttp& command, ResponseHandler handler) {
+  if (blockedAddresses_.contains(command.address.value)) {
+    loop_.runAfter(command.timeout, [handler = std::move(handler)] { handler({}); });
     return;
   }
   auto call = std::make_unique<Call>();
   Call* raw = call.get();
   raw->client = this;
-  raw->taker = std::move(taker);
-  raw->guard.writeBefore = command.writeBefore;
+  raw->handler = std::move(handler);
+  raw->guard.writeDeadline = command.writeDeadline;
   raw->connection = connectTo(loop_, command.address, command.timeout);
   raw->guard.attach(raw->connection);
   calls_[raw] = std::move(call);
-  evhttp_request* request = evhttp_request_new(&CallBacks::callDone, raw);
+  evhttp_request* request = evhttp_request_new(&WebClientCallbacks::onCallDone, raw);
   fillRequest(request, command.address, command.headers, command.body);
   evhttp_cmd_type method = command.method == "POST" ? EVHTTP_REQ_POST : EVHTTP_REQ_GET;
   if (evhttp_make_request(raw->connection, request, method, command.path.c_str()) != 0)
-    loop_.soon([this, raw] {
-      if (calls_.contains(raw)) CallBacks::callDone(nullptr, raw);
+    loop_.runSoon([this, raw] {
+      if (calls_.contains(raw)) WebClientCallbacks::onCallDone(nullptr, raw);
     });
 }
 
-void WebClient::shoot(const OpenShot& command, ShotTaker taker) {
-  if (cut_.contains(command.address.value)) {
-    loop_.after(milliseconds(500), [taker = std::move(taker), id = command.shot] {
-      taker({id, ShotTurn::kNotWritten, {}, {}, {}, 0});
+void WebClient::openStream(const OpenStreamAttempt& command, StreamHandler handler) {
+  if (blockedAddresses_.contains(command.address.value)) {
+    loop_.runAfter(milliseconds(500), [handler = std::move(handler), id = command.attempt] {
+      handler({id, StreamAttemptEventKind::kNotWritten, {}, {}, {}, 0});
     });
     return;
   }
-  auto shot = std::make_shared<Shot>();
-  shot->client = this;
-  shot->id = command.shot;
-  shot->taker = std::move(taker);
-  shot->guard.writeBefore = command.writeBefore;
-  shot->connection = connectTo(loop_, command.address, seconds(15));
-  shot->guard.attach(shot->connection);
-  shot->guard.onWritten = [raw = shot.get()] { raw->tellWritten(); };
-  shot->guard.onLate = [this, id = shot->id] {
-    loop_.soon([this, id] {
-      if (auto late = shots_.find(id); late != shots_.end())
-        std::shared_ptr(late->second)->finish(ShotTurn::kNotWritten, 0);
+  auto attempt = std::make_shared<StreamAttempt>();
+  attempt->client = this;
+  attempt->id = command.attempt;
+  attempt->handler = std::move(handler);
+  attempt->guard.writeDeadline = command.writeDeadline;
+  attempt->connection = connectTo(loop_, command.address, seconds(15));
+  attempt->guard.attach(attempt->connection);
+  attempt->guard.onWritten = [raw = attempt.get()] { raw->notifyWritten(); };
+  attempt->guard.onExpired = [this, id = attempt->id] {
+    loop_.runSoon([this, id] {
+      if (auto found = attempts_.find(id); found != attempts_.end())
+        std::shared_ptr(found->second)->finish(StreamAttemptEventKind::kNotWritten, 0);
     });
   };
-  shots_[shot->id] = shot;
-  evhttp_request* request = evhttp_request_new(&CallBacks::shotDone, shot.get());
-  evhttp_request_set_chunked_cb(request, &CallBacks::shotEvents);
-  evhttp_request_set_header_cb(request, &CallBacks::shotHeaders);
+  attempts_[attempt->id] = attempt;
+  evhttp_request* request = evhttp_request_new(&WebClientCallbacks::onStreamDone, attempt.get());
+  evhttp_request_set_chunked_cb(request, &WebClientCallbacks::onStreamChunk);
+  evhttp_request_set_header_cb(request, &WebClientCallbacks::onStreamHead);
   fillRequest(request, command.address, command.headers, command.body);
-  if (evhttp_make_request(shot->connection, request, EVHTTP_REQ_POST, command.path.c_str()) != 0)
-    loop_.soon([shot] { shot->finish(ShotTurn::kNotWritten, 0); });
+  if (evhttp_make_request(attempt->connection, request, EVHTTP_REQ_POST, command.path.c_str()) != 0)
+    loop_.runSoon([attempt] { attempt->finish(StreamAttemptEventKind::kNotWritten, 0); });
 }
 
-void WebClient::cancel(ShotId id) {
-  auto found = shots_.find(id);
-  if (found == shots_.end()) return;
-  std::shared_ptr<Shot> shot = found->second;
-  shots_.erase(found);
-  shot->ended = true;
+void WebClient::cancel(StreamAttemptId id) {
+  auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  std::shared_ptr<StreamAttempt> attempt = found->second;
+  attempts_.erase(found);
+  attempt->ended = true;
   // Freed after the current callback; the attempt must outlive its connection.
-  loop_.soon([shot] { evhttp_connection_free(shot->connection); });
+  loop_.runSoon([attempt] { evhttp_connection_free(attempt->connection); });
 }
 
-void WebClient::pause(ShotId id, bool paused) {
-  auto found = shots_.find(id);
-  if (found == shots_.end()) return;
+void WebClient::pause(StreamAttemptId id, bool paused) {
+  auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
   bufferevent* connection = evhttp_connection_get_bufferevent(found->second->connection);
   if (paused) bufferevent_disable(connection, EV_READ);
   else bufferevent_enable(connection, EV_READ);
--- a/src/io/web_client.h
+++ b/src/io/web_client.h
@@ -15,54 +15,54 @@
 namespace peppergate {
 
 /// The response to a short call; status 0 means that there was none.
-struct WebResult {
+struct WebResponse {
   int status = 0;
   std::string body;
   Headers headers;
 };
 
 /// Incremental parser for server-sent events.
-class EventReader {
+class ServerSentEventParser {
  public:
-  struct OneEvent {
+  struct ServerSentEvent {
     std::string id, event, data;
   };
   /// Adds text and calls the callback for each event that is complete.
-  void feed(std::string_view text, const std::function<void(const OneEvent&)>& take);
+  void feed(std::string_view text, const std::function<void(const ServerSentEvent&)>& onEvent);
 
  private:
-  std::string rest_;
+  std::string unparsed_;
 };
 
 /// Sends calls and streamed attempts to engines.
 class WebClient {
  public:
-  using Taker = std::function<void(const WebResult&)>;
-  using ShotTaker = std::function<void(const ShotTurned&)>;
-  explicit WebClient(Loop& loop);
+  using ResponseHandler = std::function<void(const WebResponse&)>;
+  using StreamHandler = std::function<void(const StreamAttemptEvent&)>;
+  explicit WebClient(EventLoop& loop);
   ~WebClient();
 
   /// Sends a short call, unless the command's write deadline has passed when it would be written.
-  void call(const CallWeb& command, Taker taker);
+  void call(const CallHttp& command, ResponseHandler handler);
   /// Starts a streamed attempt and reports its events as they arrive.
-  void shoot(const OpenShot& command, ShotTaker taker);
+  void openStream(const OpenStreamAttempt& command, StreamHandler handler);
   /// Aborts an attempt; none of its events is reported any more.
-  void cancel(ShotId shot);
+  void cancel(StreamAttemptId attempt);
   /// Pauses or resumes reading an attempt's response, while its caller reads slowly.
-  void pause(ShotId shot, bool paused);
+  void pause(StreamAttemptId attempt, bool paused);
   /// Fault injection: makes these addresses unreachable, instead of those set before.
-  void cut(std::set<std::string> addresses) { cut_ = std::move(addresses); }
+  void blockAddresses(std::set<std::string> addresses) { blockedAddresses_ = std::move(addresses); }
 
  private:
   struct Call;
-  struct Shot;
-  friend struct CallBacks;
-  void release(evhttp_connection* connection);
+  struct StreamAttempt;
+  friend struct WebClientCallbacks;
+  void freeLater(evhttp_connection* connection);
 
-  Loop& loop_;
+  EventLoop& loop_;
   std::map<Call*, std::unique_ptr<Call>> calls_;
-  std::map<ShotId, std::shared_ptr<Shot>> shots_;
-  std::set<std::string> cut_;
+  std::map<StreamAttemptId, std::shared_ptr<StreamAttempt>> attempts_;
+  std::set<std::string> blockedAddresses_;
 };
 
 }  // namespace peppergate
--- a/src/io/web_server.cc
+++ b/src/io/web_server.cc
@@ -17,24 +17,24 @@
   for (const auto& [name, value] : headers) evhttp_add_header(output, name.c_str(), value.c_str());
 }
 
-constexpr int kIdleSeconds = 10;    // for an idle caller or a partial request
-constexpr int kStreamSeconds = 90;  // while a request is being answered
+constexpr int kIdleTimeoutSeconds = 10;      // for an idle caller or a partial request
+constexpr int kResponseTimeoutSeconds = 90;  // while a request is being answered
 
 }  // namespace
 
 /// libevent callbacks with access to the server's private members.
-struct ServerBacks {
+struct WebServerCallbacks {
   // Argument of the connection's close callback; keeps the request alive until it is answered.
-  using Kept = std::shared_ptr<WebRequest>;
+  using RequestReference = std::shared_ptr<WebRequest>;
 
-  static void closed(evhttp_connection*, void* argument) {
-    std::unique_ptr<Kept> kept(static_cast<Kept*>(argument));
-    (*kept)->request_ = nullptr;
-    (*kept)->kept_ = nullptr;
-    if ((*kept)->onGone) (*kept)->onGone();
+  static void onClosed(evhttp_connection*, void* argument) {
+    std::unique_ptr<RequestReference> reference(static_cast<RequestReference*>(argument));
+    (*reference)->request_ = nullptr;
+    (*reference)->connectionReference_ = nullptr;
+    if ((*reference)->onDisconnect) (*reference)->onDisconnect();
   }
 
-  static void arrived(evhttp_request* raw, void* argument) {
+  static void onRequest(evhttp_request* raw, void* argument) {
     auto* server = static_cast<WebServer*>(argument);
     auto request = std::make_shared<WebRequest>();
     request->request_ = raw;
@@ -55,16 +55,17 @@
     request->body.resize(evbuffer_get_length(input));
     evbuffer_remove(input, request->body.data(), request->body.size());
     evhttp_connection* connection = evhttp_request_get_connection(raw);
-    evhttp_connection_set_timeout(connection, kStreamSeconds);
+    evhttp_connection_set_timeout(connection, kResponseTimeoutSeconds);
     // Reading stays enabled, so that a disconnect is noticed at once.
     bufferevent_enable(evhttp_connection_get_bufferevent(connection), EV_READ);
-    request->kept_ = new Kept(request);
-    evhttp_connection_set_closecb(connection, &ServerBacks::closed, request->kept_);
-    server->taker_(request);
+    request->connectionReference_ = new RequestReference(request);
+    evhttp_connection_set_closecb(connection, &WebServerCallbacks::onClosed,
+                                  request->connectionReference_);
+    server->handler_(request);
   }
 };
 
-bool WebRequest::callerPresent() const {
+bool WebRequest::isCallerConnected() const {
   if (request_ == nullptr) return false;
   bufferevent* connection =
       evhttp_connection_get_bufferevent(evhttp_request_get_connection(request_));
@@ -73,35 +74,36 @@
   return size > 0 || (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-void WebRequest::letGo() {
+void WebRequest::detachConnection() {
   evhttp_connection* connection = evhttp_request_get_connection(request_);
   evhttp_connection_set_closecb(connection, nullptr, nullptr);
-  evhttp_connection_set_timeout(connection, kIdleSeconds);
+  evhttp_connection_set_timeout(connection, kIdleTimeoutSeconds);
   request_ = nullptr;
-  onGone = nullptr;
-  std::unique_ptr<std::shared_ptr<WebRequest>> kept(std::exchange(kept_, nullptr));
+  onDisconnect = nullptr;
+  std::unique_ptr<std::shared_ptr<WebRequest>> reference(
+      std::exchange(connectionReference_, nullptr));
 }
 
-void WebRequest::answer(int status, const Headers& answerHeaders, const std::string& text) {
+void WebRequest::respond(int status, const Headers& answerHeaders, const std::string& text) {
   if (request_ == nullptr) return;
   auto self = shared_from_this();
   addHeaders(request_, answerHeaders);
   evbuffer* buffer = evbuffer_new();
   evbuffer_add(buffer, text.data(), text.size());
   evhttp_request* request = request_;
-  letGo();
+  detachConnection();
   evhttp_send_reply(request, status, nullptr, buffer);
   evbuffer_free(buffer);
 }
 
-void WebRequest::start(const Headers& answerHeaders) {
+void WebRequest::startEventStream(const Headers& answerHeaders) {
   if (request_ == nullptr) return;
   addHeaders(request_, {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-store"}});
   addHeaders(request_, answerHeaders);
   evhttp_send_reply_start(request_, 200, "OK");
 }
 
-void WebRequest::event(std::string_view id, std::string_view name, std::string_view data) {
+void WebRequest::sendEvent(std::string_view id, std::string_view name, std::string_view data) {
   if (request_ == nullptr) return;
   evbuffer* buffer = evbuffer_new();
   if (!id.empty())
@@ -113,46 +115,46 @@
   evbuffer_free(buffer);
 }
 
-void WebRequest::end() {
+void WebRequest::endStream() {
   if (request_ == nullptr) return;
   auto self = shared_from_this();
   evhttp_request* request = request_;
-  letGo();
+  detachConnection();
   evhttp_send_reply_end(request);
 }
 
-std::size_t WebRequest::waiting() const {
+std::size_t WebRequest::unsentBytes() const {
   if (request_ == nullptr) return 0;
   evhttp_connection* connection = evhttp_request_get_connection(request_);
   return evbuffer_get_length(bufferevent_get_output(evhttp_connection_get_bufferevent(connection)));
 }
 
-WebServer::WebServer(Loop& loop, Taker taker)
-    : loop_(loop), taker_(std::move(taker)), http_(evhttp_new(loop.base())) {
-  evhttp_set_gencb(http_, &ServerBacks::arrived, this);
+WebServer::WebServer(EventLoop& loop, RequestHandler handler)
+    : loop_(loop), handler_(std::move(handler)), http_(evhttp_new(loop.base())) {
+  evhttp_set_gencb(http_, &WebServerCallbacks::onRequest, this);
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
   evhttp_set_max_headers_size(http_, 16 << 10);
-  evhttp_set_timeout(http_, kIdleSeconds);
+  evhttp_set_timeout(http_, kIdleTimeoutSeconds);
 }
 
 WebServer::~WebServer() { evhttp_free(http_); }
 
-absl::Status WebServer::listen(const Address& address, std::size_t largestBody) {
+absl::Status WebServer::listen(const Address& address, std::size_t maxBodyBytes) {
   auto colon = address.value.find(':');
   if (colon == std::string::npos)
     return absl::InvalidArgumentError("'" + address.value + "' is not a valid address");
-  evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(largestBody));
-  socket_ = evhttp_bind_socket_with_handle(
+  evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(maxBodyBytes));
+  boundSocket_ = evhttp_bind_socket_with_handle(
       http_, address.value.substr(0, colon).c_str(),
       static_cast<ev_uint16_t>(std::atoi(address.value.c_str() + colon + 1)));
-  if (socket_ == nullptr)
+  if (boundSocket_ == nullptr)
     return absl::UnavailableError("cannot listen on " + address.value + ": " + strerror(errno));
   return absl::OkStatus();
 }
 
-void WebServer::stop() {
-  if (socket_ != nullptr) evhttp_del_accept_socket(http_, socket_);
-  socket_ = nullptr;
+void WebServer::stopAccepting() {
+  if (boundSocket_ != nullptr) evhttp_del_accept_socket(http_, boundSocket_);
+  boundSocket_ = nullptr;
 }
 
 }  // namespace peppergate
--- a/src/io/web_server.h
+++ b/src/io/web_server.h
@@ -20,47 +20,48 @@
   Headers headers;  // names in lower case
 
   /// Sends a complete response.
-  void answer(int status, const Headers& answerHeaders, const std::string& text);
+  void respond(int status, const Headers& answerHeaders, const std::string& text);
   /// Starts an event stream as the response.
-  void start(const Headers& answerHeaders);
+  void startEventStream(const Headers& answerHeaders);
   /// Sends one event of the stream; an empty id is left out.
-  void event(std::string_view id, std::string_view name, std::string_view data);
+  void sendEvent(std::string_view id, std::string_view name, std::string_view data);
   /// Ends the event stream.
-  void end();
+  void endStream();
   /// Response bytes that wait to be sent because the caller reads slowly.
-  std::size_t waiting() const;
-  bool gone() const { return request_ == nullptr; }
+  std::size_t unsentBytes() const;
+  bool isDisconnected() const { return request_ == nullptr; }
   /// Whether the caller's socket is still open, checked now; calls no handler. Meant for the moment
   /// before another engine is asked on the caller's behalf.
-  bool callerPresent() const;
+  bool isCallerConnected() const;
   /// Called if the caller disconnects before its response has ended.
-  std::function<void()> onGone;
+  std::function<void()> onDisconnect;
 
  private:
   friend class WebServer;
-  friend struct ServerBacks;
-  void letGo();
+  friend struct WebServerCallbacks;
+  void detachConnection();
   evhttp_request* request_ = nullptr;
-  std::shared_ptr<WebRequest>* kept_ = nullptr;  // keeps the request alive for the close callback
+  std::shared_ptr<WebRequest>* connectionReference_ =
+      nullptr;  // keeps the request alive for the close callback
 };
 
 /// Listens on one address and passes each request to a handler.
 class WebServer {
  public:
-  using Taker = std::function<void(std::shared_ptr<WebRequest>)>;
-  WebServer(Loop& loop, Taker taker);
+  using RequestHandler = std::function<void(std::shared_ptr<WebRequest>)>;
+  WebServer(EventLoop& loop, RequestHandler handler);
   ~WebServer();
   /// Starts to listen; the sizes of bodies and headers are limited.
-  absl::Status listen(const Address& address, std::size_t largestBody);
+  absl::Status listen(const Address& address, std::size_t maxBodyBytes);
   /// Accepts no new connections; used at the end of a drain.
-  void stop();
+  void stopAccepting();
 
  private:
-  friend struct ServerBacks;
-  Loop& loop_;
-  Taker taker_;
+  friend struct WebServerCallbacks;
+  EventLoop& loop_;
+  RequestHandler handler_;
   evhttp* http_;
-  evhttp_bound_socket* socket_ = nullptr;
+  evhttp_bound_socket* boundSocket_ = nullptr;
 };
 
 }  // namespace peppergate
--- a/src/model/action.cc
+++ b/src/model/action.cc
@@ -6,7 +6,7 @@
 namespace peppergate::model {
 namespace {
 
-constexpr std::array<std::string_view, kActionKinds> kNames{
+constexpr std::array<std::string_view, kActionKindCount> kActionNames{
     "continue",     "drop",       "hold",    "release",           "duplicate",  "delay",
     "advance-time", "fail-sync",  "crash",   "crash-after-write", "restart",    "bounce",
     "wipe",         "replace",    "cut-off", "reconnect",         "leave",      "lose-answer",
@@ -14,13 +14,15 @@
 
 }  // namespace
 
-std::string_view actionName(ActionKind kind) { return kNames.at(static_cast<std::size_t>(kind)); }
+std::string_view actionName(ActionKind kind) {
+  return kActionNames.at(static_cast<std::size_t>(kind));
+}
 
-absl::StatusOr<ActionKind> actionKind(std::string_view name) {
-  auto found = std::ranges::find(kNames, name);
-  if (found == kNames.end())
+absl::StatusOr<ActionKind> parseActionKind(std::string_view name) {
+  auto found = std::ranges::find(kActionNames, name);
+  if (found == kActionNames.end())
     return absl::NotFoundError("unknown action '" + std::string(name) + "'");
-  return static_cast<ActionKind>(found - kNames.begin());
+  return static_cast<ActionKind>(found - kActionNames.begin());
 }
 
 std::string actionText(const Action& action) {
@@ -29,15 +31,15 @@
 
 absl::StatusOr<Action> parseAction(std::string_view text) {
   auto space = text.find(' ');
-  auto kind = actionKind(text.substr(0, space));
+  auto kind = parseActionKind(text.substr(0, space));
   if (!kind.ok()) return kind.status();
   Action action{*kind, 0};
   if (space == std::string_view::npos) return action;
-  std::string_view number = text.substr(space + 1);
-  const char* end = number.data() + number.size();
-  auto [stop, fault] = std::from_chars(number.data(), end, action.target);
-  if (fault != std::errc{} || stop != end || action.target < 0)
-    return absl::InvalidArgumentError("'" + std::string(number) +
+  std::string_view targetText = text.substr(space + 1);
+  const char* end = targetText.data() + targetText.size();
+  auto [parsedEnd, error] = std::from_chars(targetText.data(), end, action.target);
+  if (error != std::errc{} || parsedEnd != end || action.target < 0)
+    return absl::InvalidArgumentError("'" + std::string(targetText) +
                                       "' is not a valid target of an action");
   return action;
 }
--- a/src/model/message_names.cc
+++ b/src/model/message_names.cc
@@ -7,40 +7,43 @@
   return std::string(name) + " " + std::to_string(epoch.value);
 }
 
-struct Namer {
+struct MessageFormatter {
   std::string operator()(const Shuffle&) const { return "Shuffle"; }
-  std::string operator()(const PrepareRequest& ask) const {
-    bool release = ask.kind == PrepareKind::kRelease;
-    return epochText(release ? "PrepareRequest(release)" : "PrepareRequest", ask.epoch);
+  std::string operator()(const PrepareRequest& request) const {
+    bool isRelease = request.kind == PrepareKind::kRelease;
+    return epochText(isRelease ? "PrepareRequest(release)" : "PrepareRequest", request.epoch);
   }
-  std::string operator()(const PrepareReply& answer) const {
-    return epochText(answer.granted ? "PrepareReply(yes)" : "PrepareReply(no)", answer.epoch);
+  std::string operator()(const PrepareReply& reply) const {
+    return epochText(reply.granted ? "PrepareReply(yes)" : "PrepareReply(no)", reply.epoch);
   }
-  std::string operator()(const AcceptRequest& ask) const {
-    return epochText("AcceptRequest", ask.view.epoch);
+  std::string operator()(const AcceptRequest& request) const {
+    return epochText("AcceptRequest", request.view.epoch);
   }
-  std::string operator()(const AcceptReply& answer) const {
-    return epochText(answer.accepted ? "AcceptReply(yes)" : "AcceptReply(no)", answer.epoch);
+  std::string operator()(const AcceptReply& reply) const {
+    return epochText(reply.accepted ? "AcceptReply(yes)" : "AcceptReply(no)", reply.epoch);
   }
-  std::string operator()(const ReplicateRequest& ask) const {
-    return epochText("ReplicateRequest", ask.epoch) + " version " + versionText(ask.version);
+  std::string operator()(const ReplicateRequest& request) const {
+    return epochText("ReplicateRequest", request.epoch) + " version " +
+           versionText(request.version);
   }
-  std::string operator()(const ReplicateReply& answer) const {
-    return epochText(answer.synced ? "ReplicateReply(yes)" : "ReplicateReply(no)", answer.epoch);
+  std::string operator()(const ReplicateReply& reply) const {
+    return epochText(reply.synced ? "ReplicateReply(yes)" : "ReplicateReply(no)", reply.epoch);
   }
   std::string operator()(const StateRequest&) const { return "StateRequest"; }
-  std::string operator()(const StateReply& answer) const {
-    return answer.proof ? "StateReply(proof)" : "StateReply";
+  std::string operator()(const StateReply& reply) const {
+    return reply.proof ? "StateReply(proof)" : "StateReply";
   }
-  std::string operator()(const WitnessUpdateRequest& ask) const {
-    return epochText("WitnessUpdateRequest", ask.epoch);
+  std::string operator()(const WitnessUpdateRequest& request) const {
+    return epochText("WitnessUpdateRequest", request.epoch);
   }
-  std::string operator()(const WitnessUpdateReply& answer) const {
-    return epochText("WitnessUpdateReply", answer.epoch);
+  std::string operator()(const WitnessUpdateReply& reply) const {
+    return epochText("WitnessUpdateReply", reply.epoch);
   }
-  std::string operator()(const ChangeRequest& ask) const { return "ChangeRequest " + ask.changeId; }
-  std::string operator()(const ChangeReply& answer) const {
-    return "ChangeReply outcome " + std::to_string(static_cast<int>(answer.outcome));
+  std::string operator()(const ChangeRequest& request) const {
+    return "ChangeRequest " + request.changeId;
+  }
+  std::string operator()(const ChangeReply& reply) const {
+    return "ChangeReply outcome " + std::to_string(static_cast<int>(reply.outcome));
   }
   std::string operator()(const ReadLeaseRequest&) const { return "ReadLeaseRequest"; }
   std::string operator()(const ReadLeaseReply&) const { return "ReadLeaseReply"; }
@@ -53,6 +56,6 @@
 
 }  // namespace
 
-std::string messageText(const Message& message) { return std::visit(Namer{}, message); }
+std::string messageText(const Message& message) { return std::visit(MessageFormatter{}, message); }
 
 }  // namespace peppergate::model
--- a/src/model/model_choices.cc
+++ b/src/model/model_choices.cc
@@ -7,103 +7,104 @@
 
 namespace peppergate::model {
 
-void ModelWorld::offer(std::vector<Action>& actions, ActionKind kind, int target) const {
-  if (used(kind) < options_.limit(kind)) actions.push_back({kind, target});
+void ModelWorld::addChoice(std::vector<Action>& actions, ActionKind kind, int target) const {
+  if (usedCount(kind) < options_.limit(kind)) actions.push_back({kind, target});
 }
 
-void ModelWorld::offerForMachine(std::vector<Action>& actions, int index) const {
+void ModelWorld::addMachineChoices(std::vector<Action>& actions, int index) const {
   const ModelMachine& machine = machines_.at(static_cast<std::size_t>(index));
   if (machine.removed) return;
   if (!machine.node) {
-    offer(actions, ActionKind::kRestart, index);
+    addChoice(actions, ActionKind::kRestart, index);
     return;
   }
-  offer(actions, ActionKind::kBounce, index);
-  offer(actions, ActionKind::kCrash, index);
-  bool writes =
-      !machine.stalledWrites.empty() || std::ranges::any_of(underWay_, [&](const UnderWay& item) {
-        return item.kind == UnderWay::Kind::kWrite && item.target == index;
-      });
-  if (writes) offer(actions, ActionKind::kCrashAfterWrite, index);
-  if (lostMachines() < options_.tolerate) {
-    offer(actions, ActionKind::kWipe, index);
-    offer(actions, ActionKind::kReplace, index);
+  addChoice(actions, ActionKind::kCrashAndRestart, index);
+  addChoice(actions, ActionKind::kCrash, index);
+  bool hasPendingWrite = !machine.stalledWrites.empty() ||
+                         std::ranges::any_of(pendingEvents_, [&](const PendingEvent& item) {
+                           return item.kind == PendingEvent::Kind::kWrite && item.target == index;
+                         });
+  if (hasPendingWrite) addChoice(actions, ActionKind::kCrashAfterWrite, index);
+  if (countLostMachines() < options_.tolerate) {
+    addChoice(actions, ActionKind::kWipe, index);
+    addChoice(actions, ActionKind::kReplace, index);
   }
-  if (!machine.leaving && lostMachines() + leavingUnreplaced() < options_.tolerate)
-    offer(actions, ActionKind::kLeave, index);
-  offer(actions, machine.diskStalled ? ActionKind::kResumeDisk : ActionKind::kStallDisk, index);
-  offer(actions, machine.cutOff ? ActionKind::kReconnect : ActionKind::kCutOff, index);
+  if (!machine.leaving && countLostMachines() + countUnreplacedLeaving() < options_.tolerate)
+    addChoice(actions, ActionKind::kLeave, index);
+  addChoice(actions, machine.diskStalled ? ActionKind::kResumeDisk : ActionKind::kStallDisk, index);
+  addChoice(actions, machine.partitioned ? ActionKind::kHealPartition : ActionKind::kPartition,
+            index);
 }
 
-void ModelWorld::offerForItem(std::vector<Action>& actions, const UnderWay& item) const {
-  offer(actions, ActionKind::kDelay, 0);
-  if (item.kind == UnderWay::Kind::kAnswer) {
-    offer(actions, ActionKind::kLoseAnswer, 0);
+void ModelWorld::addEventChoices(std::vector<Action>& actions, const PendingEvent& item) const {
+  addChoice(actions, ActionKind::kDelay, 0);
+  if (item.kind == PendingEvent::Kind::kAnswer) {
+    addChoice(actions, ActionKind::kLoseAnswer, 0);
     return;
   }
-  if (item.kind == UnderWay::Kind::kMessage) {
-    offer(actions, ActionKind::kDrop, 0);
-    offer(actions, ActionKind::kHold, 0);
-    offer(actions, ActionKind::kDuplicate, 0);
+  if (item.kind == PendingEvent::Kind::kMessage) {
+    addChoice(actions, ActionKind::kDrop, 0);
+    addChoice(actions, ActionKind::kHold, 0);
+    addChoice(actions, ActionKind::kDuplicate, 0);
   } else {
-    offer(actions, ActionKind::kFailSync, 0);
+    addChoice(actions, ActionKind::kFailSync, 0);
   }
-  offer(actions, ActionKind::kAdvanceTime, 0);
-  offerForMachine(actions, item.target);
-  for (std::size_t position = 0; position < held_.size(); ++position)
-    if (held_[position].target == item.target)
-      offer(actions, ActionKind::kRelease, static_cast<int>(position));
+  addChoice(actions, ActionKind::kAdvanceTime, 0);
+  addMachineChoices(actions, item.target);
+  for (std::size_t position = 0; position < heldMessages_.size(); ++position)
+    if (heldMessages_[position].target == item.target)
+      addChoice(actions, ActionKind::kRelease, static_cast<int>(position));
   int count = static_cast<int>(machines_.size());
-  for (int who = 0; who < kOperators; ++who) {
-    const Operator& each = operators_.at(static_cast<std::size_t>(who));
-    if (each.wantsCall(now_) && each.machine(count) == item.target)
-      offer(actions, ActionKind::kCallEarly, who);
+  for (int operatorIndex = 0; operatorIndex < kOperatorCount; ++operatorIndex) {
+    const Operator& each = operators_.at(static_cast<std::size_t>(operatorIndex));
+    if (each.hasCallDue(now_) && each.targetMachine(count) == item.target)
+      addChoice(actions, ActionKind::kCallWhilePending, operatorIndex);
   }
 }
 
-void ModelWorld::offerWhenIdle(std::vector<Action>& actions) const {
+void ModelWorld::addIdleChoices(std::vector<Action>& actions) const {
   int count = static_cast<int>(machines_.size());
-  int due = callerDue();
-  if (due >= 0) {
-    const Operator& each = operators_.at(static_cast<std::size_t>(due));
+  int dueOperator = findDueOperator();
+  if (dueOperator >= 0) {
+    const Operator& each = operators_.at(static_cast<std::size_t>(dueOperator));
     for (int index = 0; index < count; ++index)
-      if (index != each.machine(count) && machines_.at(static_cast<std::size_t>(index)).node)
-        offer(actions, ActionKind::kRedirect, index);
-    offer(actions, ActionKind::kAdvanceTime, 0);
+      if (index != each.targetMachine(count) && machines_.at(static_cast<std::size_t>(index)).node)
+        addChoice(actions, ActionKind::kRedirect, index);
+    addChoice(actions, ActionKind::kAdvanceTime, 0);
   }
-  for (int index = 0; index < count; ++index) offerForMachine(actions, index);
-  offer(actions, ActionKind::kJoin, 0);
-  for (std::size_t position = 0; position < held_.size(); ++position)
-    offer(actions, ActionKind::kRelease, static_cast<int>(position));
+  for (int index = 0; index < count; ++index) addMachineChoices(actions, index);
+  addChoice(actions, ActionKind::kJoin, 0);
+  for (std::size_t position = 0; position < heldMessages_.size(); ++position)
+    addChoice(actions, ActionKind::kRelease, static_cast<int>(position));
 }
 
 std::vector<Action> ModelWorld::choices() const {
   std::vector<Action> actions;
-  if (ended()) return actions;
-  if (const UnderWay* item = next()) offerForItem(actions, *item);
-  else offerWhenIdle(actions);
+  if (hasEnded()) return actions;
+  if (const PendingEvent* item = nextPending()) addEventChoices(actions, *item);
+  else addIdleChoices(actions);
   return actions;
 }
 
-bool ModelWorld::fits(const Action& action) const {
+bool ModelWorld::isPossible(const Action& action) const {
   std::vector<Action> actions = choices();
   return std::ranges::find(actions, action) != actions.end();
 }
 
 void ModelWorld::apply(const Action& action) {
-  if (ended()) return;
+  if (hasEnded()) return;
   if (action.kind == ActionKind::kContinue) {
-    continueOnce();
-  } else if (fits(action)) {
-    if (tracing_) note("** " + std::to_string(position_) + ": " + actionText(action));
-    ++used_.at(static_cast<std::size_t>(action.kind));
+    runDefaultStep();
+  } else if (isPossible(action)) {
+    if (traceEnabled_) recordStep("** " + std::to_string(position_) + ": " + actionText(action));
+    ++usedCounts_.at(static_cast<std::size_t>(action.kind));
     perform(action);
-    watch();
+    checkClaims();
   } else {
-    continueOnce();
+    runDefaultStep();
   }
   ++position_;
-  runToChoice();
+  runToChoicePoint();
 }
 
 void ModelWorld::perform(const Action& action) {
@@ -118,25 +119,25 @@
       performOnNext(action);
       break;
     case kRelease: {
-      UnderWay item = held_.at(static_cast<std::size_t>(action.target));
-      held_.erase(held_.begin() + action.target);
+      PendingEvent item = heldMessages_.at(static_cast<std::size_t>(action.target));
+      heldMessages_.erase(heldMessages_.begin() + action.target);
       process(std::move(item));
       break;
     }
     case kAdvanceTime:
-      advance();
+      advanceTime();
       break;
     case kRedirect: {
-      int due = callerDue();
-      operators_.at(static_cast<std::size_t>(due)).redirect(action.target);
-      call(due);
+      int dueOperator = findDueOperator();
+      operators_.at(static_cast<std::size_t>(dueOperator)).redirect(action.target);
+      callMachine(dueOperator);
       break;
     }
-    case kCallEarly:
-      call(action.target);
+    case kCallWhilePending:
+      callMachine(action.target);
       break;
     case kJoin:
-      joinMachine();
+      addJoiningMachine();
       break;
     case kContinue:
       break;
@@ -147,13 +148,13 @@
 
 void ModelWorld::performOnNext(const Action& action) {
   using enum ActionKind;
-  UnderWay item = takeNext();
+  PendingEvent item = popNextPending();
   switch (action.kind) {
     case kHold:
-      held_.push_back(std::move(item));
+      heldMessages_.push_back(std::move(item));
       break;
     case kDuplicate:
-      held_.push_back(item);
+      heldMessages_.push_back(item);
       process(std::move(item));
       break;
     case kDelay:
@@ -164,7 +165,7 @@
       finishWrite(item, false);
       break;
     case kLoseAnswer:
-      answer(item, true);
+      answerOperator(item, true);
       break;
     default:
       break;  // kDrop: the message is discarded
@@ -174,16 +175,16 @@
 void ModelWorld::stallDisk(int index) {
   ModelMachine& machine = machines_.at(static_cast<std::size_t>(index));
   machine.diskStalled = true;
-  auto own = [&](const UnderWay& item) {
-    return item.kind == UnderWay::Kind::kWrite && item.target == index;
+  auto isOwnWrite = [&](const PendingEvent& item) {
+    return item.kind == PendingEvent::Kind::kWrite && item.target == index;
   };
-  std::ranges::copy_if(underWay_, std::back_inserter(machine.stalledWrites), own);
-  std::erase_if(underWay_, own);
+  std::ranges::copy_if(pendingEvents_, std::back_inserter(machine.stalledWrites), isOwnWrite);
+  std::erase_if(pendingEvents_, isOwnWrite);
 }
 
 void ModelWorld::performOnMachine(const Action& action) {
   using enum ActionKind;
-  if (action.kind != kLeave) calmSince_ = now_;
+  if (action.kind != kLeave) healthySince_ = now_;
   ModelMachine& machine = machines_.at(static_cast<std::size_t>(action.target));
   switch (action.kind) {
     case kCrash:
@@ -195,7 +196,7 @@
     case kRestart:
       startMachine(action.target, false);
       break;
-    case kBounce:
+    case kCrashAndRestart:
       stopMachine(action.target, false);
       startMachine(action.target, false);
       break;
@@ -212,15 +213,15 @@
       machine.diskStalled = false;
       for (auto& write : std::exchange(machine.stalledWrites, {})) enqueue(std::move(write));
       break;
-    case kCutOff:
-      machine.cutOff = true;
+    case kPartition:
+      machine.partitioned = true;
       break;
-    case kReconnect:
-      machine.cutOff = false;
+    case kHealPartition:
+      machine.partitioned = false;
       break;
     case kLeave:
       machine.leaving = true;
-      step(action.target, DrainRequest{}, static_cast<std::uint64_t>(kLeave));
+      stepMachine(action.target, DrainRequest{}, static_cast<std::uint64_t>(kLeave));
       break;
     default:
       break;
--- a/src/model/model_options.h
+++ b/src/model/model_options.h
@@ -21,13 +21,13 @@
 
 std::string_view granularityName(Granularity granularity);
 /// The granularity with this name; NotFound for an unknown name.
-absl::StatusOr<Granularity> granularityNamed(std::string_view name);
+absl::StatusOr<Granularity> parseGranularity(std::string_view name);
 
 struct ModelOptions {
   int machines = 3;        ///< core machines at the start, 3 to 9
   int voters = 0;          ///< voter slots; fewer than machines leaves spares; 0: one each
   int tolerate = 1;        ///< machines whose disks may be lost at the same time
-  int orders = 3;          ///< changes that both operators request together, 1 to 8
+  int changes = 3;         ///< changes that both operators request together, 1 to 8
   std::uint64_t seed = 1;  ///< seed of the machines' random number generators
   Duration tick = milliseconds(300);
   Duration horizon = seconds(4.5);  ///< modelled time of one schedule, after the fleet has settled
@@ -36,11 +36,11 @@
   Duration catchUp = seconds(4);  ///< how long a lost disk counts against `tolerate`
   Granularity granularity = Granularity::kFine;
   /// How often each kind of action may occur in one schedule.
-  std::array<int, kActionKinds> limits = defaultLimits();
+  std::array<int, kActionKindCount> limits = defaultLimits();
   ControlFaultInjection faults;
   RuleSet rules;
 
-  static std::array<int, kActionKinds> defaultLimits();
+  static std::array<int, kActionKindCount> defaultLimits();
   int& limit(ActionKind kind) { return limits.at(static_cast<std::size_t>(kind)); }
   int limit(ActionKind kind) const { return limits.at(static_cast<std::size_t>(kind)); }
 };
--- a/src/model/model_steps.cc
+++ b/src/model/model_steps.cc
@@ -13,53 +13,55 @@
 constexpr std::uint64_t kSyncedDigest = 0x5c;
 constexpr std::uint64_t kUnsyncedDigest = 0xfa;
 constexpr std::uint64_t kCallDigest = 0xca11;
-constexpr Duration kCallTime = milliseconds(1);
-constexpr int kAnswersAfter = 1000;  // sorts answers after all items for machines
+constexpr Duration kCallDuration = milliseconds(1);
+constexpr int kAnswerSortOffset = 1000;  // sorts answers after all items for machines
 
-auto orderOf(const UnderWay& item) {
-  bool write = item.kind == UnderWay::Kind::kWrite;
-  int target = item.kind == UnderWay::Kind::kAnswer ? kAnswersAfter + item.target : item.target;
-  return std::tuple(item.delayed, target, write ? -1 : item.source, item.order);
+auto sortKey(const PendingEvent& item) {
+  bool write = item.kind == PendingEvent::Kind::kWrite;
+  int target =
+      item.kind == PendingEvent::Kind::kAnswer ? kAnswerSortOffset + item.target : item.target;
+  return std::tuple(item.delayed, target, write ? -1 : item.source, item.sequence);
 }
 
 }  // namespace
 
-void ModelWorld::enqueue(UnderWay item) {
-  item.order = ++lastOrder_;
-  auto after = [](const UnderWay& left, const UnderWay& right) {
-    return orderOf(left) < orderOf(right);
+void ModelWorld::enqueue(PendingEvent item) {
+  item.sequence = ++lastSequence_;
+  auto sortsBefore = [](const PendingEvent& left, const PendingEvent& right) {
+    return sortKey(left) < sortKey(right);
   };
-  underWay_.insert(std::ranges::upper_bound(underWay_, item, after), std::move(item));
+  pendingEvents_.insert(std::ranges::upper_bound(pendingEvents_, item, sortsBefore),
+                        std::move(item));
 }
 
-const UnderWay* ModelWorld::next() const {
-  return underWay_.empty() ? nullptr : &underWay_.front();
+const PendingEvent* ModelWorld::nextPending() const {
+  return pendingEvents_.empty() ? nullptr : &pendingEvents_.front();
 }
 
-UnderWay ModelWorld::takeNext() {
-  UnderWay item = std::move(underWay_.front());
-  underWay_.erase(underWay_.begin());
+PendingEvent ModelWorld::popNextPending() {
+  PendingEvent item = std::move(pendingEvents_.front());
+  pendingEvents_.erase(pendingEvents_.begin());
   return item;
 }
 
 bool ModelWorld::connected(int source, int target) const {
-  return machines_.at(static_cast<std::size_t>(source)).cutOff ==
-         machines_.at(static_cast<std::size_t>(target)).cutOff;
+  return machines_.at(static_cast<std::size_t>(source)).partitioned ==
+         machines_.at(static_cast<std::size_t>(target)).partitioned;
 }
 
-bool ModelWorld::reads(int index) const {
+bool ModelWorld::hasOpenCallAt(int index) const {
   int count = static_cast<int>(machines_.size());
   return std::ranges::any_of(operators_, [&](const Operator& each) {
-    return each.open() && each.machine(count) == index;
+    return each.hasOpenCall() && each.targetMachine(count) == index;
   });
 }
 
-bool ModelWorld::isSteadyRenewal(const UnderWay& item) const {
-  if (auto* ask = std::get_if<PrepareRequest>(item.message.get())) {
+bool ModelWorld::isSteadyLeaseRenewal(const PendingEvent& item) const {
+  if (auto* request = std::get_if<PrepareRequest>(item.message.get())) {
     const auto& target = machines_.at(static_cast<std::size_t>(item.target));
-    if (!target.node || ask->kind == PrepareKind::kRelease) return false;
+    if (!target.node || request->kind == PrepareKind::kRelease) return false;
     const AcceptorRecord& record = target.node->acceptor().record();
-    return record.promised == ask->epoch && record.promisedTo == ask->candidate;
+    return record.promised == request->epoch && record.promisedTo == request->candidate;
   }
   if (std::holds_alternative<PrepareReply>(*item.message)) {
     const auto& target = machines_.at(static_cast<std::size_t>(item.target));
@@ -68,137 +70,140 @@
   return false;
 }
 
-bool ModelWorld::isIdleQuestion(const UnderWay& item) const {
+bool ModelWorld::isIdleFreshnessCheck(const PendingEvent& item) const {
   // A freshness check matters only while an operator waits at the machine that sends it.
-  if (std::holds_alternative<StateRequest>(*item.message)) return !reads(item.source);
-  if (std::holds_alternative<StateReply>(*item.message)) return !reads(item.target);
+  if (std::holds_alternative<StateRequest>(*item.message)) return !hasOpenCallAt(item.source);
+  if (std::holds_alternative<StateReply>(*item.message)) return !hasOpenCallAt(item.target);
   return std::holds_alternative<ReadLeaseRequest>(*item.message) ||
          std::holds_alternative<ReadLeaseReply>(*item.message) ||
          std::holds_alternative<ReadLeaderNotification>(*item.message);
 }
 
-bool ModelWorld::isBackground(const UnderWay& item) const {
+bool ModelWorld::isBackground(const PendingEvent& item) const {
   if (options_.granularity == Granularity::kCoarse) return true;
-  if (item.kind != UnderWay::Kind::kMessage) return false;
+  if (item.kind != PendingEvent::Kind::kMessage) return false;
   const auto& target = machines_.at(static_cast<std::size_t>(item.target));
   if (!target.node || !connected(item.source, item.target)) return true;  // the message is lost
   if (std::holds_alternative<Shuffle>(*item.message)) return true;
   if (options_.granularity == Granularity::kFull) return false;
   if (item.source == item.target) return true;
-  return isSteadyRenewal(item) || isIdleQuestion(item);
+  return isSteadyLeaseRenewal(item) || isIdleFreshnessCheck(item);
 }
 
-void ModelWorld::runToChoice() {
-  while (!ended()) {
-    const UnderWay* item = next();
+void ModelWorld::runToChoicePoint() {
+  while (!hasEnded()) {
+    const PendingEvent* item = nextPending();
     if (item == nullptr || !isBackground(*item)) return;
-    continueOnce();
+    runDefaultStep();
   }
 }
 
-void ModelWorld::continueOnce() {
-  if (next() != nullptr) process(takeNext());
-  else if (int who = callerDue(); who >= 0) call(who);
-  else advance();
-  watch();
+void ModelWorld::runDefaultStep() {
+  if (nextPending() != nullptr) process(popNextPending());
+  else if (int operatorIndex = findDueOperator(); operatorIndex >= 0) callMachine(operatorIndex);
+  else advanceTime();
+  checkClaims();
 }
 
-void ModelWorld::process(UnderWay item) {
+void ModelWorld::process(PendingEvent item) {
   switch (item.kind) {
-    case UnderWay::Kind::kMessage:
+    case PendingEvent::Kind::kMessage:
       deliver(item);
       break;
-    case UnderWay::Kind::kWrite:
+    case PendingEvent::Kind::kWrite:
       finishWrite(item, true);
       break;
-    case UnderWay::Kind::kAnswer:
-      answer(item, false);
+    case PendingEvent::Kind::kAnswer:
+      answerOperator(item, false);
       break;
   }
 }
 
-void ModelWorld::deliver(const UnderWay& item) {
+void ModelWorld::deliver(const PendingEvent& item) {
   const auto& target = machines_.at(static_cast<std::size_t>(item.target));
   const auto& source = machines_.at(static_cast<std::size_t>(item.source));
   if (!target.node || !connected(item.source, item.target)) return;
-  if (tracing_ && !std::holds_alternative<Shuffle>(*item.message))
-    note("deliver " + messageText(*item.message) + " " + std::to_string(item.source + 1) + "->" +
-         std::to_string(item.target + 1));
-  step(item.target, Arrived{source.address, *item.message}, item.digest);
+  if (traceEnabled_ && !std::holds_alternative<Shuffle>(*item.message))
+    recordStep("deliver " + messageText(*item.message) + " " + std::to_string(item.source + 1) +
+               "->" + std::to_string(item.target + 1));
+  stepMachine(item.target, MessageReceived{source.address, *item.message}, item.digest);
 }
 
-void ModelWorld::finishWrite(const UnderWay& item, bool synced) {
+void ModelWorld::finishWrite(const PendingEvent& item, bool synced) {
   auto& machine = machines_.at(static_cast<std::size_t>(item.target));
-  note((synced ? "written " : "sync failed ") + item.write->name + " on " +
-       std::to_string(item.target + 1));
+  recordStep((synced ? "written " : "sync failed ") + item.write->name + " on " +
+             std::to_string(item.target + 1));
   if (synced)
     machine.disk[item.write->name] = std::make_shared<const std::string>(item.write->content);
-  step(item.target, FileWritten{item.write->ticket, synced},
-       item.digest + (synced ? kSyncedDigest : kUnsyncedDigest));
+  stepMachine(item.target, FileWritten{item.write->ticket, synced},
+              item.digest + (synced ? kSyncedDigest : kUnsyncedDigest));
 }
 
-void ModelWorld::answer(const UnderWay& item, bool lost) {
+void ModelWorld::answerOperator(const PendingEvent& item, bool lost) {
   Operator& each = operators_.at(static_cast<std::size_t>(item.target));
-  if (!each.open() || each.ticket() != item.answer->ticket) return;
-  note(std::string(lost ? "lost" : "given") + " to operator " + std::to_string(item.target + 1) +
-       ": " + std::to_string(item.answer->status) + " " + item.answer->body);
-  if (lost) each.broken(now_ + options_.tick);
-  else each.answered(*item.answer, now_, options_.tick, judge_);
-}
-
-int ModelWorld::callerDue() const {
-  for (int who = 0; who < kOperators; ++who)
-    if (operators_.at(static_cast<std::size_t>(who)).wantsCall(now_)) return who;
+  if (!each.hasOpenCall() || each.ticket() != item.answer->ticket) return;
+  recordStep(std::string(lost ? "lost" : "given") + " to operator " +
+             std::to_string(item.target + 1) + ": " + std::to_string(item.answer->status) + " " +
+             item.answer->body);
+  if (lost) each.handleBrokenConnection(now_ + options_.tick);
+  else each.handleAnswer(*item.answer, now_, options_.tick, checker_);
+}
+
+int ModelWorld::findDueOperator() const {
+  for (int operatorIndex = 0; operatorIndex < kOperatorCount; ++operatorIndex)
+    if (operators_.at(static_cast<std::size_t>(operatorIndex)).hasCallDue(now_))
+      return operatorIndex;
   return -1;
 }
 
-void ModelWorld::call(int who) {
-  now_ = now_ + kCallTime;  // a call is later than everything known before it
-  Operator& each = operators_.at(static_cast<std::size_t>(who));
+void ModelWorld::callMachine(int operatorIndex) {
+  now_ = now_ + kCallDuration;  // a call is later than everything known before it
+  Operator& each = operators_.at(static_cast<std::size_t>(operatorIndex));
   TicketId ticket{(++lastTicket_ << 20U) + 7};  // distinct from the machines' own tickets
-  int index = each.machine(static_cast<int>(machines_.size()));
-  OperatorCall made = each.call(ticket, now_, judge_);
-  bool reading = made.kind == CallKind::kRead;
-  note("operator " + std::to_string(who + 1) + " at machine " + std::to_string(index + 1) + ": " +
-       (reading ? "read" : made.body));
+  int index = each.targetMachine(static_cast<int>(machines_.size()));
+  OperatorCall operatorCall = each.beginCall(ticket, now_, checker_);
+  bool isRead = operatorCall.kind == CallKind::kRead;
+  recordStep("operator " + std::to_string(operatorIndex + 1) + " at machine " +
+             std::to_string(index + 1) + ": " + (isRead ? "read" : operatorCall.body));
   if (!machines_.at(static_cast<std::size_t>(index)).node) {
-    each.broken(now_ + options_.tick);
+    each.handleBrokenConnection(now_ + options_.tick);
     return;
   }
-  std::uint64_t digest = kCallDigest + static_cast<std::uint64_t>(who) * 64 + lastTicket_ * 256;
-  if (reading) step(index, OperatorRequest{ticket, "GET", "/config", ""}, digest);
-  else step(index, OperatorRequest{ticket, "POST", "/change", made.body}, digest);
+  std::uint64_t digest =
+      kCallDigest + static_cast<std::uint64_t>(operatorIndex) * 64 + lastTicket_ * 256;
+  if (isRead) stepMachine(index, OperatorRequest{ticket, "GET", "/config", ""}, digest);
+  else stepMachine(index, OperatorRequest{ticket, "POST", "/change", operatorCall.body}, digest);
 }
 
-void ModelWorld::advance() {
+void ModelWorld::advanceTime() {
   now_ = now_ + options_.tick;
-  if (!calm()) calmSince_ = now_;
-  for (auto& item : underWay_) item.delayed = false;
-  std::ranges::sort(underWay_, {}, orderOf);
+  if (!allMachinesHealthy()) healthySince_ = now_;
+  for (auto& item : pendingEvents_) item.delayed = false;
+  std::ranges::sort(pendingEvents_, {}, sortKey);
   for (std::size_t index = 0; index < machines_.size(); ++index)
-    step(static_cast<int>(index), Ticked{}, kTickDigest);
-  note("time advances");
+    stepMachine(static_cast<int>(index), Tick{}, kTickDigest);
+  recordStep("time advances");
   for (auto& each : operators_)
-    if (each.giveUpWhenSilent(now_)) note("an operator gives up its call");
+    if (each.giveUpTimedOutCall(now_)) recordStep("an operator gives up its call");
 }
 
 void ModelWorld::finish() {
-  if (options_.recovery == Duration{} || !judge_.violation().empty()) return;
-  note("** all trouble is over");
+  if (options_.recovery == Duration{} || !checker_.violation().empty()) return;
+  recordStep("** all trouble is over");
   for (std::size_t index = 0; index < machines_.size(); ++index) {
     ModelMachine& machine = machines_[index];
-    machine.cutOff = false;
+    machine.partitioned = false;
     machine.diskStalled = false;
     for (auto& write : std::exchange(machine.stalledWrites, {})) enqueue(std::move(write));
-    bool suspect = machine.node &&
-                   (machine.node->leadership().isSuspect() || !machine.node->acceptor().votes());
-    if (suspect) stopMachine(static_cast<int>(index), false);  // it only recovers by a restart
+    bool needsRestart = machine.node && (machine.node->leadership().isDiskSuspect() ||
+                                         !machine.node->acceptor().canVote());
+    if (needsRestart) stopMachine(static_cast<int>(index), false);  // it only recovers by a restart
     if (!machine.node && !machine.removed) startMachine(static_cast<int>(index), false);
   }
-  held_.clear();
+  heldMessages_.clear();
   MonotonicTime until = now_ + options_.recovery;
-  while (now_ < until && judge_.violation().empty()) continueOnce();
-  judge_.recovered(leader() >= 0);
+  while (now_ < until && checker_.violation().empty()) runDefaultStep();
+  checker_.recordRecovery(leader() >= 0);
 }
 
 }  // namespace peppergate::model
--- a/src/model/model_world.h
+++ b/src/model/model_world.h
@@ -17,17 +17,17 @@
 namespace peppergate::model {
 
 /// A pending event: a message, a disk write, or an answer to an operator.
-struct UnderWay {
+struct PendingEvent {
   enum class Kind : std::uint8_t { kWrite, kMessage, kAnswer };
   Kind kind = Kind::kMessage;
   int target = 0;  ///< the machine that it goes to, or the operator for an answer
   int source = 0;  ///< the machine that it comes from
   bool delayed = false;
-  std::uint64_t order = 0;   ///< sequence number: keeps each channel first in, first out
-  std::uint64_t digest = 0;  ///< hash of its origin and content
+  std::uint64_t sequence = 0;  ///< sequence number: keeps each channel first in, first out
+  std::uint64_t digest = 0;    ///< hash of its origin and content
   std::shared_ptr<const Message> message;
   std::shared_ptr<const WriteFile> write;
-  std::shared_ptr<const AnswerWeb> answer;
+  std::shared_ptr<const AnswerHttp> answer;
 };
 
 /// One machine; its disk persists across restarts of its process.
@@ -35,11 +35,11 @@
   Address address;
   std::shared_ptr<CoreNode> node;  ///< null while the machine is stopped
   std::map<std::string, std::shared_ptr<const std::string>> disk;
-  std::uint64_t life = 0;     ///< number of process starts so far
-  std::uint64_t history = 0;  ///< hash of all inputs since its first start
-  bool cutOff = false;        ///< on the other side of a network partition
+  std::uint64_t processCount = 0;  ///< number of process starts so far
+  std::uint64_t inputHash = 0;     ///< hash of all inputs since its first start
+  bool partitioned = false;        ///< on the other side of a network partition
   bool diskStalled = false;
-  std::vector<UnderWay> stalledWrites;
+  std::vector<PendingEvent> stalledWrites;
   bool leaving = false;
   bool removed = false;  ///< gone permanently, with its disk
 };
@@ -49,7 +49,7 @@
   /// Bootstraps a fleet and runs it until it has settled: one leader, whose state all its replicas
   /// hold. If a rule is broken on the way, the world is returned as it is at that point.
   /// FailedPrecondition if the fleet doesn't settle within a minute of modelled time.
-  static absl::StatusOr<ModelWorld> founded(const ModelOptions& options);
+  static absl::StatusOr<ModelWorld> createSettled(const ModelOptions& options);
 
   /// The actions other than `kContinue` that are possible now.
   std::vector<Action> choices() const;
@@ -57,106 +57,106 @@
   /// isn't possible now counts as `kContinue`.
   void apply(const Action& action);
   /// Whether the schedule has ended: a rule is broken or the horizon is reached.
-  bool ended() const { return !judge_.violation().empty() || now_ >= end_; }
+  bool hasEnded() const { return !checker_.violation().empty() || now_ >= horizonEnd_; }
   /// Equal for worlds with equal futures: covers each machine's inputs, the pending events, the
   /// operators and the counts of actions used.
   std::uint64_t fingerprint() const;
   /// Ends a schedule: ends all faults and checks that there is a leader after the recovery time.
   void finish();
 
-  const SafetyJudge& judge() const { return judge_; }
+  const SafetyChecker& checker() const { return checker_; }
   MonotonicTime now() const { return now_; }
   /// The position in the schedule: the number of choice points passed.
   int position() const { return position_; }
   const std::vector<ModelMachine>& machines() const { return machines_; }
   /// Records each step as text from now on.
-  void trace() { tracing_ = true; }
+  void enableTrace() { traceEnabled_ = true; }
   const std::vector<std::string>& steps() const { return steps_; }
   /// The machine that leads now and may present its state as the newest; -1: none.
   int leader() const;
   /// Whether a candidate or a leader is changing to another view.
-  bool changesView() const;
+  bool isChangingView() const;
 
  private:
   explicit ModelWorld(const ModelOptions& options);
 
   // Machines, in model_world.cc.
   void addMachine();
-  void startMachine(int index, bool bootstraps);
+  void startMachine(int index, bool isBootstrapper);
   void stopMachine(int index, bool writesReachDisk);
   void wipeMachine(int index);
   void replaceMachine(int index);
-  void joinMachine();
+  void addJoiningMachine();
   void startNewMachine();
-  void step(int index, const Event& event, std::uint64_t digest);
-  void carryOut(int index, Command command, std::uint64_t digest);
-  void dropOlder(int index, const DropOlder& command);
-  void checkLeft(int index);
-  void watch();
-  MonotonicTime local(int index) const;
-  int machineAt(const Address& address) const;
+  void stepMachine(int index, const Event& event, std::uint64_t digest);
+  void execute(int index, Command command, std::uint64_t digest);
+  void removeOlderFiles(int index, const RemoveOlderFiles& command);
+  void removeIfLeft(int index);
+  void checkClaims();
+  MonotonicTime localTime(int index) const;
+  int findMachine(const Address& address) const;
   /// The number of machines that count as lost: a lost disk counts for the catch-up time; a machine
   /// that left counts until the machine that joined in its place has run for that time. The time
   /// runs only while all machines run, are connected and have healthy disks, because replicas can't
   /// be restored before that.
-  int lostMachines() const;
+  int countLostMachines() const;
   /// The number of machines that were asked to leave and have no successor yet.
-  int leavingUnreplaced() const;
-  bool calm() const;
+  int countUnreplacedLeaving() const;
+  bool allMachinesHealthy() const;
 
   // The default order, in model_steps.cc.
-  void runToChoice();
-  void continueOnce();
-  void process(UnderWay item);
-  void deliver(const UnderWay& item);
-  void finishWrite(const UnderWay& item, bool synced);
-  void answer(const UnderWay& item, bool lost);
-  void call(int who);
-  void advance();
-  const UnderWay* next() const;
-  UnderWay takeNext();
-  void enqueue(UnderWay item);
-  bool isBackground(const UnderWay& item) const;
-  bool isSteadyRenewal(const UnderWay& item) const;
-  bool isIdleQuestion(const UnderWay& item) const;
-  int callerDue() const;
-  bool reads(int index) const;
+  void runToChoicePoint();
+  void runDefaultStep();
+  void process(PendingEvent item);
+  void deliver(const PendingEvent& item);
+  void finishWrite(const PendingEvent& item, bool synced);
+  void answerOperator(const PendingEvent& item, bool lost);
+  void callMachine(int operatorIndex);
+  void advanceTime();
+  const PendingEvent* nextPending() const;
+  PendingEvent popNextPending();
+  void enqueue(PendingEvent item);
+  bool isBackground(const PendingEvent& item) const;
+  bool isSteadyLeaseRenewal(const PendingEvent& item) const;
+  bool isIdleFreshnessCheck(const PendingEvent& item) const;
+  int findDueOperator() const;
+  bool hasOpenCallAt(int index) const;
   bool connected(int source, int target) const;
 
   // Choices, in model_choices.cc.
-  void offer(std::vector<Action>& actions, ActionKind kind, int target) const;
-  void offerForMachine(std::vector<Action>& actions, int index) const;
-  void offerForItem(std::vector<Action>& actions, const UnderWay& item) const;
-  void offerWhenIdle(std::vector<Action>& actions) const;
-  bool fits(const Action& action) const;
+  void addChoice(std::vector<Action>& actions, ActionKind kind, int target) const;
+  void addMachineChoices(std::vector<Action>& actions, int index) const;
+  void addEventChoices(std::vector<Action>& actions, const PendingEvent& item) const;
+  void addIdleChoices(std::vector<Action>& actions) const;
+  bool isPossible(const Action& action) const;
   void perform(const Action& action);
   void performOnMachine(const Action& action);
   void performOnNext(const Action& action);
   void stallDisk(int index);
-  int used(ActionKind kind) const { return used_.at(static_cast<std::size_t>(kind)); }
+  int usedCount(ActionKind kind) const { return usedCounts_.at(static_cast<std::size_t>(kind)); }
 
-  void note(const std::string& text);
+  void recordStep(const std::string& text);
 
   ModelOptions options_;
-  Options settings_;
-  std::vector<Address> seeds_;
+  Options nodeOptions_;
+  std::vector<Address> seedAddresses_;
   std::vector<ModelMachine> machines_;
   /// Sorted: items that aren't delayed first, then by target and source.
-  std::vector<UnderWay> underWay_;
-  std::vector<UnderWay> held_;
-  std::array<Operator, kOperators> operators_;
-  std::array<int, kActionKinds> used_{};
-  std::vector<MonotonicTime> losses_;  ///< the time of each loss of a disk
-  std::vector<MonotonicTime> joins_;   ///< the time at which each additional machine joined
-  int removals_ = 0;                   ///< number of machines that left permanently
-  MonotonicTime calmSince_ = kNever;   ///< when the last fault of a machine ended
-  SafetyJudge judge_;
+  std::vector<PendingEvent> pendingEvents_;
+  std::vector<PendingEvent> heldMessages_;
+  std::array<Operator, kOperatorCount> operators_;
+  std::array<int, kActionKindCount> usedCounts_{};
+  std::vector<MonotonicTime> diskLossTimes_;  ///< the time of each loss of a disk
+  std::vector<MonotonicTime> joinTimes_;      ///< the time at which each additional machine joined
+  int removedCount_ = 0;                      ///< number of machines that left permanently
+  MonotonicTime healthySince_ = kNever;       ///< when the last fault of a machine ended
+  SafetyChecker checker_;
   MonotonicTime now_{};
-  MonotonicTime end_ = kForever;
-  std::uint64_t lastOrder_ = 0;
+  MonotonicTime horizonEnd_ = kForever;
+  std::uint64_t lastSequence_ = 0;
   std::uint64_t lastTicket_ = 0;
   int position_ = 0;
-  bool tracing_ = false;
+  bool traceEnabled_ = false;
   std::vector<std::string> steps_;
 };
 
--- a/src/model/schedule.cc
+++ b/src/model/schedule.cc
@@ -9,92 +9,92 @@
 namespace peppergate::model {
 namespace {
 
-absl::Status wrongLine(const std::string& line, std::string_view why) {
+absl::Status invalidLine(const std::string& line, std::string_view why) {
   return absl::InvalidArgumentError("schedule line '" + line + "': " + std::string(why));
 }
 
-bool readNumber(std::string_view text, std::int64_t& number) {
+bool parseNumber(std::string_view text, std::int64_t& number) {
   const char* end = text.data() + text.size();
-  auto [stop, fault] = std::from_chars(text.data(), end, number);
-  return fault == std::errc{} && stop == end && !text.empty();
+  auto [parsedEnd, error] = std::from_chars(text.data(), end, number);
+  return error == std::errc{} && parsedEnd == end && !text.empty();
 }
 
-absl::Status readDeparture(const std::string& line, std::string_view rest, Schedule& schedule) {
+absl::Status parseDeparture(const std::string& line, std::string_view rest, Schedule& schedule) {
   auto space = rest.find(' ');
   std::int64_t position = 0;
-  if (space == std::string_view::npos || !readNumber(rest.substr(0, space), position) ||
+  if (space == std::string_view::npos || !parseNumber(rest.substr(0, space), position) ||
       position < 0 || position > 1'000'000)
-    return wrongLine(line, "expected: at POSITION ACTION");
+    return invalidLine(line, "expected: at POSITION ACTION");
   auto action = parseAction(rest.substr(space + 1));
-  if (!action.ok()) return wrongLine(line, std::string(action.status().message()));
+  if (!action.ok()) return invalidLine(line, std::string(action.status().message()));
   schedule.departures.push_back({static_cast<int>(position), *action});
   return absl::OkStatus();
 }
 
-absl::Status readLimit(const std::string& line, std::string_view rest, ModelOptions& options) {
+absl::Status parseLimit(const std::string& line, std::string_view rest, ModelOptions& options) {
   auto space = rest.find(' ');
   std::int64_t count = 0;
-  auto kind = actionKind(rest.substr(0, space));
-  if (!kind.ok()) return wrongLine(line, std::string(kind.status().message()));
-  if (space == std::string_view::npos || !readNumber(rest.substr(space + 1), count) || count < 0 ||
+  auto kind = parseActionKind(rest.substr(0, space));
+  if (!kind.ok()) return invalidLine(line, std::string(kind.status().message()));
+  if (space == std::string_view::npos || !parseNumber(rest.substr(space + 1), count) || count < 0 ||
       count > 1'000'000)
-    return wrongLine(line, "expected: limit ACTION COUNT");
+    return invalidLine(line, "expected: limit ACTION COUNT");
   options.limit(*kind) = static_cast<int>(count);
   return absl::OkStatus();
 }
 
-absl::Status readOption(const std::string& line, std::string_view name, std::string_view value,
-                        ModelOptions& options) {
+absl::Status parseOption(const std::string& line, std::string_view name, std::string_view value,
+                         ModelOptions& options) {
   if (name == "granularity") {
-    auto granularity = granularityNamed(value);
-    if (!granularity.ok()) return wrongLine(line, std::string(granularity.status().message()));
+    auto granularity = parseGranularity(value);
+    if (!granularity.ok()) return invalidLine(line, std::string(granularity.status().message()));
     options.granularity = *granularity;
     return absl::OkStatus();
   }
   if (name == "fault") {
-    auto fault = controlFaultNamed(value);
-    if (!fault.ok()) return wrongLine(line, std::string(fault.status().message()));
+    auto fault = parseControlFault(value);
+    if (!fault.ok()) return invalidLine(line, std::string(fault.status().message()));
     options.faults.set(*fault);
     return absl::OkStatus();
   }
   if (name == "rule") {
-    auto rule = ruleNamed(value);
-    if (!rule.ok()) return wrongLine(line, std::string(rule.status().message()));
+    auto rule = parseRule(value);
+    if (!rule.ok()) return invalidLine(line, std::string(rule.status().message()));
     options.rules.add(*rule);
     return absl::OkStatus();
   }
   std::int64_t number = 0;
-  if (!readNumber(value, number) || number < 0 || number > 1'000'000'000)
-    return wrongLine(line, "the value must be an integer from 0 to 1000000000");
+  if (!parseNumber(value, number) || number < 0 || number > 1'000'000'000)
+    return invalidLine(line, "the value must be an integer from 0 to 1000000000");
   if (name == "machines") options.machines = static_cast<int>(number);
   else if (name == "voters") options.voters = static_cast<int>(number);
   else if (name == "tolerate") options.tolerate = static_cast<int>(number);
-  else if (name == "orders") options.orders = static_cast<int>(number);
+  else if (name == "orders") options.changes = static_cast<int>(number);
   else if (name == "seed") options.seed = static_cast<std::uint64_t>(number);
   else if (name == "tick-ms") options.tick = milliseconds(number);
   else if (name == "horizon-ms") options.horizon = milliseconds(number);
   else if (name == "catch-up-ms") options.catchUp = milliseconds(number);
   else if (name == "recovery-ms") options.recovery = milliseconds(number);
-  else return wrongLine(line, "unknown option");
+  else return invalidLine(line, "unknown option");
   return absl::OkStatus();
 }
 
-absl::Status readLine(const std::string& line, Schedule& schedule) {
+absl::Status parseLine(const std::string& line, Schedule& schedule) {
   std::string_view text = line;
   auto space = text.find(' ');
-  if (space == std::string_view::npos) return wrongLine(line, "expected: NAME VALUE");
+  if (space == std::string_view::npos) return invalidLine(line, "expected: NAME VALUE");
   std::string_view name = text.substr(0, space), rest = text.substr(space + 1);
-  if (name == "at") return readDeparture(line, rest, schedule);
-  if (name == "limit") return readLimit(line, rest, schedule.options);
-  return readOption(line, name, rest, schedule.options);
+  if (name == "at") return parseDeparture(line, rest, schedule);
+  if (name == "limit") return parseLimit(line, rest, schedule.options);
+  return parseOption(line, name, rest, schedule.options);
 }
 
 }  // namespace
 
-ModelWorld run(const ModelWorld& settled, const std::vector<Departure>& departures) {
+ModelWorld runSchedule(const ModelWorld& settled, const std::vector<Departure>& departures) {
   ModelWorld world = settled;
   auto next = departures.begin();
-  while (!world.ended()) {
+  while (!world.hasEnded()) {
     Action action;
     if (next != departures.end() && next->position == world.position()) action = (next++)->action;
     world.apply(action);
@@ -104,27 +104,27 @@
 }
 
 absl::StatusOr<ReplayReport> replay(const Schedule& schedule) {
-  auto settled = ModelWorld::founded(schedule.options);
+  auto settled = ModelWorld::createSettled(schedule.options);
   if (!settled.ok()) return settled.status();
-  settled->trace();
-  ModelWorld world = run(*settled, schedule.departures);
-  return ReplayReport{world.judge().violation(), world.position(), world.steps()};
+  settled->enableTrace();
+  ModelWorld world = runSchedule(*settled, schedule.departures);
+  return ReplayReport{world.checker().violation(), world.position(), world.steps()};
 }
 
 std::string scheduleText(const Schedule& schedule) {
   const ModelOptions& options = schedule.options;
   std::ostringstream text;
   text << "machines " << options.machines << "\nvoters " << options.voters << "\ntolerate "
-       << options.tolerate << "\norders " << options.orders << "\nseed " << options.seed
+       << options.tolerate << "\norders " << options.changes << "\nseed " << options.seed
        << "\ntick-ms " << inMilliseconds(options.tick) << "\nhorizon-ms "
        << inMilliseconds(options.horizon) << "\ncatch-up-ms " << inMilliseconds(options.catchUp)
        << "\nrecovery-ms " << inMilliseconds(options.recovery) << "\ngranularity "
        << granularityName(options.granularity) << "\n";
   for (std::string_view name : options.faults.names()) text << "fault " << name << "\n";
-  for (std::size_t rule = 0; rule < kRuleNames.size() && !options.rules.all(); ++rule)
+  for (std::size_t rule = 0; rule < kRuleNames.size() && !options.rules.includesAll(); ++rule)
     if (options.rules.has(static_cast<Rule>(rule))) text << "rule " << kRuleNames.at(rule) << "\n";
   const auto defaults = ModelOptions::defaultLimits();
-  for (std::size_t kind = 0; kind < kActionKinds; ++kind)
+  for (std::size_t kind = 0; kind < kActionKindCount; ++kind)
     if (options.limits.at(kind) != defaults.at(kind))
       text << "limit " << actionName(static_cast<ActionKind>(kind)) << " "
            << options.limits.at(kind) << "\n";
@@ -138,7 +138,7 @@
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
     if (line.empty() || line.starts_with("#")) continue;
-    if (auto status = readLine(line, schedule); !status.ok()) return status;
+    if (auto status = parseLine(line, schedule); !status.ok()) return status;
   }
   if (auto status = checkOptions(schedule.options); !status.ok()) return status;
   if (!std::ranges::is_sorted(schedule.departures, {}, &Departure::position))
@@ -146,16 +146,17 @@
   return schedule;
 }
 
-std::vector<Departure> shortened(const ModelWorld& settled, std::vector<Departure> departures,
-                                 const std::string& violation) {
-  for (bool shorter = true; shorter;) {
-    shorter = false;
+std::vector<Departure> minimizeDepartures(const ModelWorld& settled,
+                                          std::vector<Departure> departures,
+                                          const std::string& violation) {
+  for (bool removedAny = true; removedAny;) {
+    removedAny = false;
     for (std::size_t index = departures.size(); index-- > 0;) {
       std::vector<Departure> fewer = departures;
       fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(index));
-      if (run(settled, fewer).judge().violation() != violation) continue;
+      if (runSchedule(settled, fewer).checker().violation() != violation) continue;
       departures = std::move(fewer);
-      shorter = true;
+      removedAny = true;
     }
   }
   return departures;
--- a/src/model/schedule.h
+++ b/src/model/schedule.h
@@ -26,7 +26,7 @@
 /// The outcome of a schedule.
 struct ReplayReport {
   std::string violation;  ///< the broken rule; empty if none
-  int positions = 0;      ///< number of choice points
+  int choicePoints = 0;   ///< number of choice points
   std::vector<std::string> steps;
 };
 
@@ -35,7 +35,7 @@
 absl::StatusOr<ReplayReport> replay(const Schedule& schedule);
 
 /// Runs a schedule from a settled fleet, without recording its steps.
-ModelWorld run(const ModelWorld& settled, const std::vector<Departure>& departures);
+ModelWorld runSchedule(const ModelWorld& settled, const std::vector<Departure>& departures);
 
 /// The schedule as text, one option or departure per line.
 std::string scheduleText(const Schedule& schedule);
@@ -45,7 +45,8 @@
 absl::StatusOr<Schedule> parseSchedule(const std::string& text);
 
 /// Removes departures for as long as the violation stays the same.
-std::vector<Departure> shortened(const ModelWorld& settled, std::vector<Departure> departures,
-                                 const std::string& violation);
+std::vector<Departure> minimizeDepartures(const ModelWorld& settled,
+                                          std::vector<Departure> departures,
+                                          const std::string& violation);
 
 }  // namespace peppergate::model
