--- a/src/model/search.cc
+++ b/src/model/search.cc
@@ -18,10 +18,10 @@
 }
 
 /// One level of the search: all schedules with up to this many departures, spread over threads.
-class Level {
+class SearchLevel {
  public:
-  Level(const ModelOptions& options, const SearchBounds& bounds, int departures, StateSet& states,
-        Clock::time_point start)
+  SearchLevel(const ModelOptions& options, const SearchBounds& bounds, int departures,
+              VisitedStates& states, Clock::time_point start)
       : options_(options),
         bounds_(bounds),
         departures_(departures),
@@ -34,123 +34,125 @@
     explore(settled, path, departures_, departures_ > 0);
     std::vector<std::thread> threads;
     for (unsigned index = 0; index < std::max(1U, bounds_.threads); ++index)
-      threads.emplace_back([this] { work(); });
+      threads.emplace_back([this] { runTasks(); });
     for (auto& thread : threads) thread.join();
-    return !outOfBounds_;
+    return !limitReached_;
   }
   void addTo(SearchReport& report) const {
     report.transitions += transitions_;
     report.schedules += schedules_;
     report.depth = std::max(report.depth, depth_.load());
   }
-  bool failed() const { return failing_.has_value(); }
-  const std::vector<Departure>& failing() const { return *failing_; }
+  bool failed() const { return failingDepartures_.has_value(); }
+  const std::vector<Departure>& failingDepartures() const { return *failingDepartures_; }
   const std::string& violation() const { return violation_; }
 
  private:
-  void work() {
+  void runTasks() {
     // Each thread bootstraps its own fleet, so that threads share no nodes.
-    auto settled = ModelWorld::founded(options_);
+    auto settled = ModelWorld::createSettled(options_);
     if (!settled.ok()) return;
     while (true) {
       std::size_t index = nextTask_++;
-      if (index >= tasks_.size() || stops()) return;
+      if (index >= tasks_.size() || shouldStop()) return;
       std::vector<Departure> path{tasks_[index]};
-      explore(after(*settled, tasks_[index]), path, departures_ - 1, false);
+      explore(worldAfter(*settled, tasks_[index]), path, departures_ - 1, false);
     }
   }
 
-  static ModelWorld after(const ModelWorld& settled, const Departure& departure) {
+  static ModelWorld worldAfter(const ModelWorld& settled, const Departure& departure) {
     ModelWorld world = settled;
     while (world.position() < departure.position) world.apply({});
     world.apply(departure.action);
     return world;
   }
 
-  bool stops() {
-    if (found_) return true;
-    bool spent =
-        secondsSince(start_) > inSeconds(bounds_.time) || states_.size() >= bounds_.mostStates;
-    if (spent) outOfBounds_ = true;
-    return spent;
+  bool shouldStop() {
+    if (violationFound_) return true;
+    bool limitReached =
+        secondsSince(start_) > inSeconds(bounds_.timeLimit) || states_.size() >= bounds_.maxStates;
+    if (limitReached) limitReached_ = true;
+    return limitReached;
   }
 
   /// Follows the default order from a world. At each choice point, each departure is explored as a
   /// branch, or queued as a task for the threads.
-  void explore(ModelWorld world, std::vector<Departure>& path, int left, bool spread) {
-    while (!world.ended()) {
-      if (!states_.enter(world.fingerprint(), left)) return;
-      if (stops()) return;
-      branch(world, path, left, spread);
+  void explore(ModelWorld world, std::vector<Departure>& path, int departuresLeft, bool asTasks) {
+    while (!world.hasEnded()) {
+      if (!states_.visit(world.fingerprint(), departuresLeft)) return;
+      if (shouldStop()) return;
+      branch(world, path, departuresLeft, asTasks);
       world.apply({});
       ++transitions_;
     }
     world.finish();
-    ended(world, path);
+    recordEnd(world, path);
   }
 
-  void branch(const ModelWorld& world, std::vector<Departure>& path, int left, bool spread) {
+  void branch(const ModelWorld& world, std::vector<Departure>& path, int departuresLeft,
+              bool asTasks) {
     for (const Action& action : world.choices()) {
       int cost = action.kind == ActionKind::kRelease ? 0 : 1;
-      if (cost > left) continue;
+      if (cost > departuresLeft) continue;
       ++transitions_;
-      if (spread) {
+      if (asTasks) {
         tasks_.push_back({world.position(), action});
         continue;
       }
       path.push_back({world.position(), action});
-      ModelWorld other = world;
-      other.apply(action);
-      explore(std::move(other), path, left - cost, false);
+      ModelWorld branched = world;
+      branched.apply(action);
+      explore(std::move(branched), path, departuresLeft - cost, false);
       path.pop_back();
     }
   }
 
-  void ended(const ModelWorld& world, const std::vector<Departure>& path) {
+  void recordEnd(const ModelWorld& world, const std::vector<Departure>& path) {
     ++schedules_;
     int depth = depth_;
     while (world.position() > depth && !depth_.compare_exchange_weak(depth, world.position())) {
     }
-    if (world.judge().violation().empty()) return;
+    if (world.checker().violation().empty()) return;
     std::lock_guard lock(mutex_);
-    if (failing_) return;
-    failing_ = path;
-    violation_ = world.judge().violation();
-    found_ = true;
+    if (failingDepartures_) return;
+    failingDepartures_ = path;
+    violation_ = world.checker().violation();
+    violationFound_ = true;
   }
 
   const ModelOptions& options_;
   const SearchBounds& bounds_;
   int departures_;
-  StateSet& states_;
+  VisitedStates& states_;
   Clock::time_point start_;
   std::vector<Departure> tasks_;
   std::atomic<std::size_t> nextTask_{0};
   std::atomic<std::uint64_t> transitions_{0}, schedules_{0};
   std::atomic<int> depth_{0};
-  std::atomic<bool> found_{false}, outOfBounds_{false};
+  std::atomic<bool> violationFound_{false}, limitReached_{false};
   std::mutex mutex_;
-  std::optional<std::vector<Departure>> failing_;
+  std::optional<std::vector<Departure>> failingDepartures_;
   std::string violation_;
 };
 
 }  // namespace
 
 absl::StatusOr<SearchReport> search(const ModelOptions& options, const SearchBounds& bounds) {
-  auto settled = ModelWorld::founded(options);
+  auto settled = ModelWorld::createSettled(options);
   if (!settled.ok()) return settled.status();
   auto start = Clock::now();
   SearchReport report;
-  StateSet states;
+  VisitedStates states;
   for (int departures = 0; departures <= bounds.departures; ++departures) {
-    Level level(options, bounds, departures, states, start);
-    bool whole = level.run(*settled);
+    SearchLevel level(options, bounds, departures, states, start);
+    bool covered = level.run(*settled);
     level.addTo(report);
-    report.finished = whole && !level.failed();
+    report.finished = covered && !level.failed();
     if (report.finished) report.departures = departures;
     if (level.failed()) {
       report.violation = level.violation();
-      report.failing = Schedule{options, shortened(*settled, level.failing(), level.violation())};
+      report.failingSchedule = Schedule{
+          options, minimizeDepartures(*settled, level.failingDepartures(), level.violation())};
     }
     if (!report.finished) break;
   }
@@ -161,10 +163,10 @@
 
 namespace {
 
-constexpr double kShareWhileChanging = 0.2;  // at least, in steered walks
+constexpr double kDepartureProbabilityInViewChange = 0.2;  // at least, in steered walks
 
 /// The relative probability of an action's kind in a steered walk.
-std::uint64_t weightOf(ActionKind kind) {
+std::uint64_t actionWeight(ActionKind kind) {
   using enum ActionKind;
   switch (kind) {
     case kJoin:
@@ -172,8 +174,8 @@
     case kReplace:
     case kWipe:
       return 12;
-    case kCutOff:
-    case kReconnect:
+    case kPartition:
+    case kHealPartition:
     case kCrash:
     case kRestart:
     case kFailSync:
@@ -184,15 +186,15 @@
 }
 
 /// Picks one of the possible actions: a kind by weight, then one of its targets uniformly.
-Action steeredChoice(const std::vector<Action>& choices, Random& random) {
-  std::map<ActionKind, std::vector<Action>> kinds;
-  for (const Action& action : choices) kinds[action.kind].push_back(action);
-  std::uint64_t sum = 0;
-  for (const auto& [kind, actions] : kinds) sum += weightOf(kind);
-  std::uint64_t drawn = random.below(sum);
-  for (const auto& [kind, actions] : kinds) {
-    if (drawn < weightOf(kind)) return actions[random.below(actions.size())];
-    drawn -= weightOf(kind);
+Action weightedChoice(const std::vector<Action>& choices, Random& random) {
+  std::map<ActionKind, std::vector<Action>> actionsByKind;
+  for (const Action& action : choices) actionsByKind[action.kind].push_back(action);
+  std::uint64_t totalWeight = 0;
+  for (const auto& [kind, actions] : actionsByKind) totalWeight += actionWeight(kind);
+  std::uint64_t remainingWeight = random.below(totalWeight);
+  for (const auto& [kind, actions] : actionsByKind) {
+    if (remainingWeight < actionWeight(kind)) return actions[random.below(actions.size())];
+    remainingWeight -= actionWeight(kind);
   }
   return {};
 }
@@ -200,20 +202,21 @@
 /// The next action of a random schedule.
 Action randomAction(const ModelWorld& world, const WalkBounds& bounds, Random& random) {
   bool steered = bounds.steering == Steering::kReplacements;
-  double share = bounds.departureShare;
-  if (steered && world.changesView()) share = std::max(share, kShareWhileChanging);
-  if (random.fraction() >= share) return {};
+  double probability = bounds.departureProbability;
+  if (steered && world.isChangingView())
+    probability = std::max(probability, kDepartureProbabilityInViewChange);
+  if (random.fraction() >= probability) return {};
   auto choices = world.choices();
   if (choices.empty()) return {};
-  return steered ? steeredChoice(choices, random) : choices[random.below(choices.size())];
+  return steered ? weightedChoice(choices, random) : choices[random.below(choices.size())];
 }
 
 /// Runs one random schedule; appends its departures to `path`.
-ModelWorld randomRun(const ModelWorld& settled, const WalkBounds& bounds, Random& random,
-                     std::vector<Departure>& path, StateSet& states) {
+ModelWorld runRandomSchedule(const ModelWorld& settled, const WalkBounds& bounds, Random& random,
+                             std::vector<Departure>& path, VisitedStates& states) {
   ModelWorld world = settled;
-  while (!world.ended()) {
-    states.enter(world.fingerprint(), 0);
+  while (!world.hasEnded()) {
+    states.visit(world.fingerprint(), 0);
     Action action = randomAction(world, bounds, random);
     if (action.kind != ActionKind::kContinue) path.push_back({world.position(), action});
     world.apply(action);
@@ -222,74 +225,75 @@
 }
 
 /// The name of the broken rule, without the details of the schedule.
-std::string ruleOf(const std::string& violation) {
+std::string brokenRule(const std::string& violation) {
   std::string rule = violation.substr(0, violation.find(':'));
   std::erase_if(rule, [](char letter) { return letter >= '0' && letter <= '9'; });
   return rule;
 }
 
 /// Random schedules, run by several threads into one shared report.
-struct Walks {
+struct WalkRunner {
   const ModelOptions& options;
   const WalkBounds& bounds;
   Clock::time_point start = Clock::now();
-  StateSet states{};
+  VisitedStates states{};
   std::atomic<std::uint64_t> nextSeed;
   std::mutex mutex{};
   WalkReport report{};
 
-  void work() {
-    while (secondsSince(start) < inSeconds(bounds.time)) {
+  void run() {
+    while (secondsSince(start) < inSeconds(bounds.timeLimit)) {
       std::uint64_t seed = nextSeed++;
       if (seed > bounds.lastSeed) return;
-      one(seed);
+      runWalk(seed);
     }
   }
 
-  void one(std::uint64_t seed) {
-    ModelOptions own = options;
-    own.seed = seed;
-    auto settled = ModelWorld::founded(own);
+  void runWalk(std::uint64_t seed) {
+    ModelOptions walkOptions = options;
+    walkOptions.seed = seed;
+    auto settled = ModelWorld::createSettled(walkOptions);
     std::vector<Departure> path;
     if (!settled.ok()) {
-      add(0, std::string(settled.status().message()), Schedule{own, {}});
+      record(0, std::string(settled.status().message()), Schedule{walkOptions, {}});
       return;
     }
     Random random(seed);
-    ModelWorld world = randomRun(*settled, bounds, random, path, states);
+    ModelWorld world = runRandomSchedule(*settled, bounds, random, path, states);
     world.finish();
-    std::string violation = world.judge().violation();
-    if (!violation.empty()) path = shortened(*settled, path, violation);
-    add(world.position(), violation, Schedule{own, path});
+    std::string violation = world.checker().violation();
+    if (!violation.empty()) path = minimizeDepartures(*settled, path, violation);
+    record(world.position(), violation, Schedule{walkOptions, path});
   }
 
-  void add(int depth, const std::string& violation, Schedule schedule) {
+  void record(int depth, const std::string& violation, Schedule schedule) {
     std::lock_guard lock(mutex);
     ++report.walks;
     report.transitions += static_cast<std::uint64_t>(depth);
     report.depth = std::max(report.depth, depth);
     if (violation.empty()) return;
     ++report.failed;
-    ++report.violations[ruleOf(violation)];
-    bool longer = report.failing && report.failing->departures.size() <= schedule.departures.size();
-    if (longer) return;
-    report.failing = std::move(schedule);
+    ++report.walksByRule[brokenRule(violation)];
+    bool keepsPrevious = report.failingSchedule &&
+                         report.failingSchedule->departures.size() <= schedule.departures.size();
+    if (keepsPrevious) return;
+    report.failingSchedule = std::move(schedule);
     report.violation = violation;
   }
 };
 
 }  // namespace
 
-absl::StatusOr<WalkReport> walk(const ModelOptions& options, const WalkBounds& bounds) {
+absl::StatusOr<WalkReport> runWalks(const ModelOptions& options, const WalkBounds& bounds) {
   if (auto status = checkOptions(options); !status.ok()) return status;
-  Walks walks{.options = options, .bounds = bounds, .nextSeed = bounds.firstSeed};
+  WalkRunner runner{.options = options, .bounds = bounds, .nextSeed = bounds.firstSeed};
   std::vector<std::thread> threads;
   for (unsigned index = 0; index < std::max(1U, bounds.threads); ++index)
-    threads.emplace_back([&] { walks.work(); });
+    threads.emplace_back([&] { runner.run(); });
   for (auto& thread : threads) thread.join();
-  WalkReport& report = walks.report;
-  report.states = walks.states.size();
-  report.seconds = secondsSince(walks.start);
+  WalkReport& report = runner.report;
+  report.states = runner.states.size();
+  report.seconds = secondsSince(runner.start);
   return report;
 }
 
--- a/src/model/search.h
+++ b/src/model/search.h
@@ -14,8 +14,8 @@
 struct SearchBounds {
   int departures = 2;  ///< in one schedule; releasing a held message costs nothing
   unsigned threads = 1;
-  Duration time = seconds(600);           ///< wall-clock limit
-  std::uint64_t mostStates = 50'000'000;  ///< limit on the states that are remembered
+  Duration timeLimit = seconds(600);     ///< wall-clock limit
+  std::uint64_t maxStates = 50'000'000;  ///< limit on the states that are remembered
 };
 
 struct SearchReport {
@@ -27,7 +27,7 @@
   double seconds = 0;     ///< wall-clock time
   bool finished = false;  ///< all schedules within the bound were covered
   std::string violation;  ///< the broken rule; empty if none
-  std::optional<Schedule> failing;  ///< the schedule that breaks it, shortened
+  std::optional<Schedule> failingSchedule;  ///< the schedule that breaks it, shortened
 };
 
 /// Covers all schedules with 0, 1, 2 ... departures in turn, so that the first failing schedule has
@@ -45,10 +45,10 @@
 struct WalkBounds {
   std::uint64_t firstSeed = 1;
   std::uint64_t lastSeed = 100;
-  double departureShare = 0.05;  ///< probability of a departure at a choice point
+  double departureProbability = 0.05;  ///< probability of a departure at a choice point
   Steering steering = Steering::kNone;
   unsigned threads = 1;
-  Duration time = seconds(600);
+  Duration timeLimit = seconds(600);
 };
 
 struct WalkReport {
@@ -58,12 +58,13 @@
   int depth = 0;             ///< choice points in the longest walk
   std::uint64_t failed = 0;
   double seconds = 0;
-  std::map<std::string, std::uint64_t> violations;  ///< how many walks broke each rule
-  std::string violation;                            ///< the rule that `failing` breaks
-  std::optional<Schedule> failing;  ///< the failing schedule with the fewest departures, shortened
+  std::map<std::string, std::uint64_t> walksByRule;  ///< how many walks broke each rule
+  std::string violation;                             ///< the rule that `failing` breaks
+  std::optional<Schedule>
+      failingSchedule;  ///< the failing schedule with the fewest departures, shortened
 };
 
 /// Runs one random schedule per seed; the seed also seeds the machines' random number generators.
-absl::StatusOr<WalkReport> walk(const ModelOptions& options, const WalkBounds& bounds);
+absl::StatusOr<WalkReport> runWalks(const ModelOptions& options, const WalkBounds& bounds);
 
 }  // namespace peppergate::model
--- a/src/model/state_set.h
+++ b/src/model/state_set.h
@@ -9,16 +9,16 @@
 namespace peppergate::model {
 
 /// Thread-safe: split into shards with a lock each.
-class StateSet {
+class VisitedStates {
  public:
   /// Adds a state; returns whether to explore it: it is new, or was visited with fewer departures
   /// left.
-  bool enter(std::uint64_t fingerprint, int departuresLeft) {
+  bool visit(std::uint64_t fingerprint, int departuresLeft) {
     Shard& shard = shards_[fingerprint % kShards];
     std::lock_guard lock(shard.mutex);
-    auto [entry, fresh] =
-        shard.left.try_emplace(fingerprint, static_cast<std::int8_t>(departuresLeft));
-    if (fresh) {
+    auto [entry, isNew] = shard.departuresLeftByState.try_emplace(
+        fingerprint, static_cast<std::int8_t>(departuresLeft));
+    if (isNew) {
       ++size_;
       return true;
     }
@@ -32,7 +32,7 @@
   static constexpr std::size_t kShards = 64;
   struct Shard {
     std::mutex mutex;
-    std::unordered_map<std::uint64_t, std::int8_t> left;
+    std::unordered_map<std::uint64_t, std::int8_t> departuresLeftByState;
   };
   std::array<Shard, kShards> shards_;
   std::atomic<std::uint64_t> size_{0};
--- a/src/model/suite.cc
+++ b/src/model/suite.cc
@@ -6,14 +6,14 @@
 namespace peppergate::model {
 namespace {
 
-constexpr Duration kPartWithin = seconds(120);  // a part that takes longer fails
+constexpr Duration kPartTimeLimit = seconds(120);  // a part that takes longer fails
 
-constexpr Duration kRecovery = seconds(12);  // for a leader after the end of a random schedule
+constexpr Duration kRecoveryTime = seconds(12);  // for a leader after the end of a random schedule
 
 /// One part of the suite. With `walks` above 0 it runs random schedules instead of a search.
-struct Part {
+struct SuitePart {
   const char* name;
-  int machines, voters, tolerate, orders;
+  int machines, voters, tolerate, changes;
   double horizon;  // seconds
   Granularity granularity;
   int departures;
@@ -22,7 +22,7 @@
 };
 
 // All parts check all rules, except that only random schedules check `recovery`.
-constexpr std::array<Part, 12> kParts{{
+constexpr std::array<SuitePart, 12> kSuiteParts{{
     {"three machines, one departure", 3, 0, 1, 3, 3.6, Granularity::kFine, 1, 0},
     {"three machines, one departure, each message", 3, 0, 1, 3, 1.8, Granularity::kFull, 1, 0},
     {"four machines, one departure", 4, 0, 1, 4, 3, Granularity::kFine, 1, 0},
@@ -41,45 +41,45 @@
      Steering::kReplacements},
 }};
 
-ModelOptions optionsOf(const Part& part) {
+ModelOptions modelOptionsFor(const SuitePart& part) {
   ModelOptions options;
   options.machines = part.machines;
   options.voters = part.voters;
   options.tolerate = part.tolerate;
-  options.orders = part.orders;
+  options.changes = part.changes;
   options.horizon = seconds(part.horizon);
   options.granularity = part.granularity;
-  if (part.walks > 0) options.recovery = kRecovery;
+  if (part.walks > 0) options.recovery = kRecoveryTime;
   return options;
 }
 
-SuiteResult searchPart(const Part& part, unsigned threads) {
+SuiteResult runSearchPart(const SuitePart& part, unsigned threads) {
   SearchBounds bounds;
   bounds.departures = part.departures;
   bounds.threads = threads;
-  bounds.time = kPartWithin;
-  auto report = search(optionsOf(part), bounds);
+  bounds.timeLimit = kPartTimeLimit;
+  auto report = search(modelOptionsFor(part), bounds);
   if (!report.ok()) return {part.name, std::string(report.status().message()), false, {}};
   return {part.name,
-          reportLine(*report) + (report->violation.empty() ? "" : " ") + report->violation,
-          report->finished && report->violation.empty(), report->failing};
+          summaryLine(*report) + (report->violation.empty() ? "" : " ") + report->violation,
+          report->finished && report->violation.empty(), report->failingSchedule};
 }
 
-SuiteResult walkPart(const Part& part, unsigned threads) {
+SuiteResult runWalkPart(const SuitePart& part, unsigned threads) {
   WalkBounds bounds;
   bounds.lastSeed = part.walks;
   bounds.steering = part.steering;
   bounds.threads = threads;
-  bounds.time = kPartWithin;
-  auto report = walk(optionsOf(part), bounds);
+  bounds.timeLimit = kPartTimeLimit;
+  auto report = runWalks(modelOptionsFor(part), bounds);
   if (!report.ok()) return {part.name, std::string(report.status().message()), false, {}};
   return {part.name,
-          reportLine(*report) + (report->violation.empty() ? "" : " ") + report->violation,
-          report->walks == part.walks && report->failed == 0, report->failing};
+          summaryLine(*report) + (report->violation.empty() ? "" : " ") + report->violation,
+          report->walks == part.walks && report->failed == 0, report->failingSchedule};
 }
 
 template <class... Values>
-std::string formatted(const char* format, Values... values) {
+std::string formatText(const char* format, Values... values) {
   std::array<char, 256> text{};
   std::snprintf(text.data(), text.size(), format, values...);
   return text.data();
@@ -89,13 +89,13 @@
 
 std::vector<SuiteResult> runSuite(unsigned threads) {
   std::vector<SuiteResult> results;
-  for (const auto& part : kParts)
-    results.push_back(part.walks == 0 ? searchPart(part, threads) : walkPart(part, threads));
+  for (const auto& part : kSuiteParts)
+    results.push_back(part.walks == 0 ? runSearchPart(part, threads) : runWalkPart(part, threads));
   return results;
 }
 
-std::string reportLine(const SearchReport& report) {
-  return formatted(
+std::string summaryLine(const SearchReport& report) {
+  return formatText(
       "%llu states, %llu transitions, %llu schedules, depth %d, %.1f s; all schedules "
       "with up to %d departures%s",
       static_cast<unsigned long long>(report.states),
@@ -104,8 +104,8 @@
       report.departures, report.finished ? "" : " finished, more begun");
 }
 
-std::string reportLine(const WalkReport& report) {
-  return formatted(
+std::string summaryLine(const WalkReport& report) {
+  return formatText(
       "%llu walks, %llu failed, %llu states, %llu transitions, depth %d, %.1f s",
       static_cast<unsigned long long>(report.walks), static_cast<unsigned long long>(report.failed),
       static_cast<unsigned long long>(report.states),
--- a/src/model/suite.h
+++ b/src/model/suite.h
@@ -10,18 +10,18 @@
 /// The result of one part of the suite.
 struct SuiteResult {
   std::string name;
-  std::string line;                 ///< its counts, or why it could not run
-  bool passed = false;              ///< no rule was broken, and the search was finished
-  std::optional<Schedule> failing;  ///< set if a rule was broken
+  std::string summary;                      ///< its counts, or why it could not run
+  bool passed = false;                      ///< no rule was broken, and the search was finished
+  std::optional<Schedule> failingSchedule;  ///< set if a rule was broken
 };
 
 /// Runs the parts of the suite one after the other, each on this many threads.
 std::vector<SuiteResult> runSuite(unsigned threads);
 
 /// A search's counts as one line.
-std::string reportLine(const SearchReport& report);
+std::string summaryLine(const SearchReport& report);
 
 /// The counts of random schedules as one line.
-std::string reportLine(const WalkReport& report);
+std::string summaryLine(const WalkReport& report);
 
 }  // namespace peppergate::model
--- a/src/prompts/cost.cc
+++ b/src/prompts/cost.cc
@@ -5,52 +5,61 @@
 namespace peppergate {
 namespace {
 
-constexpr double kSafePart = 0.6;          // fraction of the target below which an estimate is safe
-constexpr double kSteep = 4;               // slope from there to the target
-constexpr double kMoveMs = 2;              // fixed overhead of a fetch
-constexpr double kLongestMoveWait = 2000;  // engines start no fetch that would wait longer
+constexpr double kSafeFraction = 0.6;   // fraction of the target below which an estimate is safe
+constexpr double kRiskSlope = 4;        // slope from there to the target
+constexpr double kFetchOverheadMs = 2;  // fixed overhead of a fetch
+constexpr double kLongestFetchWaitMs = 2000;  // engines start no fetch that would wait longer
 
-int priceOf(int crossing) { return crossing >= 10 ? 3 : crossing; }
+int distancePrice(int distanceFactor) { return distanceFactor >= 10 ? 3 : distanceFactor; }
 
 }  // namespace
 
 double latenessCost(double firstEventMs, double targetMs) {
-  double safe = kSafePart * targetMs;
+  double safe = kSafeFraction * targetMs;
   double risk = std::clamp(firstEventMs - safe, 0.0, targetMs - safe);
-  return firstEventMs + kSteep * risk;
+  return firstEventMs + kRiskSlope * risk;
 }
 
-CandidateCost costOf(const CandidateNumbers& is, const CostWeights& weights) {
+CandidateCost costOf(const CandidateInputs& inputs, const CostWeights& weights) {
   CandidateCost cost;
-  double linkMs = is.linkMegabytes > 0 ? 1000 / is.linkMegabytes : 0;
-  bool collects =
-      is.collects && is.reach > is.kept && linkMs > 0 && is.linkWait <= kLongestMoveWait;
-  double begin = collects ? is.reach : is.kept;
-  cost.moved = collects ? is.reach - is.kept : 0;
-  cost.toRead = std::max(0.0, is.prompt - begin);
-  double megabytes = cost.moved * is.tokenMegabytes;
-  double moveMs = collects ? kMoveMs + is.linkWait + megabytes * linkMs * is.crossing : 0;
-  double full = std::clamp(is.running / std::max(1.0, is.slots), 0.0, 1.0);
-  cost.waitMs = is.queueTokens / is.speed + full * full * weights.fullBatchMs;
-  cost.firstEventMs = cost.waitMs + moveMs + cost.toRead / is.speed;
+  double linkMs = inputs.linkMegabytesPerSecond > 0 ? 1000 / inputs.linkMegabytesPerSecond : 0;
+  bool fetches = inputs.mayFetch && inputs.sourceTokens > inputs.cachedTokens && linkMs > 0 &&
+                 inputs.linkWaitMs <= kLongestFetchWaitMs;
+  double prefixTokens = fetches ? inputs.sourceTokens : inputs.cachedTokens;
+  cost.fetchedTokens = fetches ? inputs.sourceTokens - inputs.cachedTokens : 0;
+  cost.prefillTokens = std::max(0.0, inputs.promptTokens - prefixTokens);
+  double megabytes = cost.fetchedTokens * inputs.megabytesPerToken;
+  double fetchMs =
+      fetches ? kFetchOverheadMs + inputs.linkWaitMs + megabytes * linkMs * inputs.distanceFactor
+              : 0;
+  double batchShare = std::clamp(inputs.running / std::max(1.0, inputs.slots), 0.0, 1.0);
+  cost.waitMs =
+      inputs.queuedTokens / inputs.prefillSpeed + batchShare * batchShare * weights.fullBatchMs;
+  cost.firstEventMs = cost.waitMs + fetchMs + cost.prefillTokens / inputs.prefillSpeed;
   cost.total = latenessCost(cost.firstEventMs, weights.targetMs);
   // Shared blocks: computed again though cached elsewhere, or first computed away from their home.
-  double known = std::min(std::max(is.reach, is.kept), is.shared);
-  cost.total += std::max(0.0, known - begin) * weights.rereadToken;
+  double cachedSharedTokens =
+      std::min(std::max(inputs.sourceTokens, inputs.cachedTokens), inputs.sharedTokens);
+  cost.total += std::max(0.0, cachedSharedTokens - prefixTokens) * weights.recomputedToken;
+  cost.total += std::max(0.0, inputs.sharedTokens - std::max(cachedSharedTokens, prefixTokens)) *
+                weights.misplacedToken * inputs.homeDistance;
   cost.total +=
-      std::max(0.0, is.shared - std::max(known, begin)) * weights.firstReadToken * is.away;
-  cost.total += std::max(0.0, known - std::min(is.kept, known)) * weights.copiedToken;
-  cost.total += megabytes / 1000 * weights.movedGigabyte * priceOf(is.crossing);
-  if (is.otherZone) cost.total += weights.otherZone;
-  if (is.olderWeights) cost.total += weights.olderWeights;
-  if (is.room > 0) {
-    double over = is.used + (is.prompt - std::min(begin, is.shared)) + is.answerOut - is.room;
-    cost.total += std::clamp(over / is.room, 0.0, 1.0) * weights.memoryOver;
+      std::max(0.0, cachedSharedTokens - std::min(inputs.cachedTokens, cachedSharedTokens)) *
+      weights.duplicatedToken;
+  cost.total += megabytes / 1000 * weights.fetchedGigabyte * distancePrice(inputs.distanceFactor);
+  if (inputs.otherZone) cost.total += weights.otherZone;
+  if (inputs.olderWeights) cost.total += weights.olderWeights;
+  if (inputs.capacityTokens > 0) {
+    double excessTokens = inputs.usedTokens +
+                          (inputs.promptTokens - std::min(prefixTokens, inputs.sharedTokens)) +
+                          inputs.outputTokens - inputs.capacityTokens;
+    cost.total +=
+        std::clamp(excessTokens / inputs.capacityTokens, 0.0, 1.0) * weights.memoryOvercommit;
   }
   return cost;
 }
 
-double roomForecastMs(double running, double slots, double waiting) {
+double freeSlotForecastMs(double running, double slots, double waiting) {
   double ahead = std::max(0.0, running + waiting - slots + 1);
   return 50 + 450 * std::clamp(ahead / std::max(1.0, slots) * 4, 0.0, 1.0);
 }
--- a/src/prompts/fetch_setup.h
+++ b/src/prompts/fetch_setup.h
@@ -11,6 +11,6 @@
 /// The class of a request's urgency. Example: `className(0) == "urgent"`.
 std::string_view className(int urgency);
 /// Converts megabits per second to megabytes per second.
-constexpr double megabytesOf(double megabits) { return megabits / 8; }
+constexpr double megabytesFromMegabits(double megabits) { return megabits / 8; }
 
 }  // namespace peppergate
--- a/src/prompts/part_index.cc
+++ b/src/prompts/part_index.cc
@@ -7,14 +7,14 @@
 
 /// Engines allocate cache memory in pages, so the end of a block may be missing. Computing it again
 /// takes almost no time.
-bool isWhole(std::int64_t kept, std::int64_t tokens) {
-  return kept >= tokens || tokens - kept < std::max<std::int64_t>(16, tokens / 50);
+bool isComplete(std::int64_t cachedTokens, std::int64_t tokens) {
+  return cachedTokens >= tokens || tokens - cachedTokens < std::max<std::int64_t>(16, tokens / 50);
 }
 
 }  // namespace
 
-std::uint32_t PartIndex::slotOf(const EngineId& engine) {
-  auto [found, fresh] = slotOf_.try_emplace(engine, 0);
+std::uint32_t PrefixBlockIndex::slotFor(const EngineId& engine) {
+  auto [found, fresh] = slotByEngine_.try_emplace(engine, 0);
   if (!fresh) return found->second;
   if (freeSlots_.empty()) {
     found->second = static_cast<std::uint32_t>(slots_.size());
@@ -23,200 +23,204 @@
     found->second = freeSlots_.back();
     freeSlots_.pop_back();
   }
-  slots_[found->second] = Slot{engine, false, {}, {}};
+  slots_[found->second] = EngineSlot{engine, false, {}, {}};
   return found->second;
 }
 
-std::uint32_t PartIndex::saltNumber(std::string_view salt) {
-  auto found = salts_.find(salt);
-  if (found != salts_.end()) return found->second;
-  found = salts_.emplace(std::string(salt), static_cast<std::uint32_t>(salts_.size())).first;
+std::uint32_t PrefixBlockIndex::saltId(std::string_view salt) {
+  auto found = saltIds_.find(salt);
+  if (found != saltIds_.end()) return found->second;
+  found = saltIds_.emplace(std::string(salt), static_cast<std::uint32_t>(saltIds_.size())).first;
   saltTexts_.push_back(&found->first);
   return found->second;
 }
 
-const std::vector<PartIndex::Entry>* PartIndex::entries(std::string_view salt,
-                                                        std::string_view part) const {
-  auto number = salts_.find(salt);
-  if (number == salts_.end()) return nullptr;
-  auto found = kept_.find(PartView{number->second, part});
-  return found == kept_.end() ? nullptr : &found->second;
+const std::vector<PrefixBlockIndex::Entry>* PrefixBlockIndex::entries(
+    std::string_view salt, std::string_view block) const {
+  auto number = saltIds_.find(salt);
+  if (number == saltIds_.end()) return nullptr;
+  auto found = blocks_.find(BlockKeyView{number->second, block});
+  return found == blocks_.end() ? nullptr : &found->second;
 }
 
-void PartIndex::put(std::uint32_t slot, std::string_view salt, std::string_view part,
-                    std::int64_t tokens) {
-  PartView view{saltNumber(salt), part};
-  auto found = kept_.find(view);
+void PrefixBlockIndex::setTokens(std::uint32_t slot, std::string_view salt, std::string_view block,
+                                 std::int64_t tokens) {
+  BlockKeyView view{saltId(salt), block};
+  auto found = blocks_.find(view);
   if (tokens <= 0) {
-    if (found != kept_.end()) drop(slot, found);
+    if (found != blocks_.end()) removeEntry(slot, found);
     return;
   }
-  if (found == kept_.end())
-    found = kept_.emplace(PartKey{view.salt, std::string(part)}, std::vector<Entry>{}).first;
-  auto held = static_cast<std::int32_t>(std::min<std::int64_t>(tokens, INT32_MAX));
+  if (found == blocks_.end())
+    found = blocks_.emplace(BlockKey{view.salt, std::string(block)}, std::vector<Entry>{}).first;
+  auto stored = static_cast<std::int32_t>(std::min<std::int64_t>(tokens, INT32_MAX));
   auto entry = std::ranges::find(found->second, slot, &Entry::engine);
   if (entry != found->second.end()) {
-    entry->tokens = held;
+    entry->tokens = stored;
     return;
   }
-  auto& list = slots_[slot].parts;
-  found->second.push_back({slot, held, static_cast<std::uint32_t>(list.size())});
+  auto& list = slots_[slot].blocks;
+  found->second.push_back({slot, stored, static_cast<std::uint32_t>(list.size())});
   list.push_back(&*found);
   ++size_;
 }
 
-void PartIndex::drop(std::uint32_t slot, Kept::iterator found) {
+void PrefixBlockIndex::removeEntry(std::uint32_t slot, BlockMap::iterator found) {
   auto entry = std::ranges::find(found->second, slot, &Entry::engine);
   if (entry == found->second.end()) return;
-  auto& list = slots_[slot].parts;
-  if (entry->place + 1 < list.size()) {  // the last element fills the gap
-    list[entry->place] = list.back();
+  auto& list = slots_[slot].blocks;
+  if (entry->position + 1 < list.size()) {  // the last element fills the gap
+    list[entry->position] = list.back();
     auto& moved = list.back()->second;
-    std::ranges::find(moved, slot, &Entry::engine)->place = entry->place;
+    std::ranges::find(moved, slot, &Entry::engine)->position = entry->position;
   }
   list.pop_back();
   *entry = found->second.back();
   found->second.pop_back();
-  if (found->second.empty()) kept_.erase(found);
+  if (found->second.empty()) blocks_.erase(found);
   --size_;
 }
 
-void PartIndex::clear(std::uint32_t slot) {
-  auto& list = slots_[slot].parts;
+void PrefixBlockIndex::removeEntries(std::uint32_t slot) {
+  auto& list = slots_[slot].blocks;
   while (!list.empty())
-    drop(slot, kept_.find(PartView{list.back()->first.salt, list.back()->first.part}));
+    removeEntry(slot, blocks_.find(BlockKeyView{list.back()->first.salt, list.back()->first.part}));
   list.shrink_to_fit();
 }
 
-bool PartIndex::hear(const PrefixBlockUpdate& news) {
-  std::uint32_t number = slotOf(news.engine);
-  const PartMark& mark = slots_[number].mark;
-  if (slots_[number].told && mark.epoch == news.epoch && news.next < mark.next)
+bool PrefixBlockIndex::apply(const PrefixBlockUpdate& update) {
+  std::uint32_t slotNumber = slotFor(update.engine);
+  const ChangePosition& position = slots_[slotNumber].position;
+  if (slots_[slotNumber].hasPosition && position.epoch == update.epoch &&
+      update.nextSequence < position.next)
     return true;  // outdated
-  if (news.whole || (slots_[number].told && slots_[number].mark.epoch != news.epoch)) clear(number);
-  Slot& slot = slots_[number];
-  if (!slot.told || slot.mark.epoch != news.epoch) slot.mark = {news.epoch, 0};
-  slot.told = true;
-  bool gap = !news.whole && news.from > slot.mark.next;
-  slot.mark.next = news.next;
-  std::size_t count = std::min({news.salts.size(), news.parts.size(), news.tokens.size()});
+  if (update.isComplete ||
+      (slots_[slotNumber].hasPosition && slots_[slotNumber].position.epoch != update.epoch))
+    removeEntries(slotNumber);
+  EngineSlot& slot = slots_[slotNumber];
+  if (!slot.hasPosition || slot.position.epoch != update.epoch) slot.position = {update.epoch, 0};
+  slot.hasPosition = true;
+  bool gap = !update.isComplete && update.firstSequence > slot.position.next;
+  slot.position.next = update.nextSequence;
+  std::size_t count = std::min({update.salts.size(), update.blocks.size(), update.tokens.size()});
   std::string_view salt;
   for (std::size_t index = 0; index < count; ++index) {
-    if (!news.salts[index].empty()) salt = news.salts[index];
-    put(number, salt, news.parts[index], news.tokens[index]);
+    if (!update.salts[index].empty()) salt = update.salts[index];
+    setTokens(slotNumber, salt, update.blocks[index], update.tokens[index]);
   }
   return !gap;
 }
 
-void PartIndex::expect(const EngineId& engine, const std::string& salt,
-                       std::span<const PartSize> parts) {
-  std::uint32_t slot = slotOf(engine);
-  for (const auto& part : parts) put(slot, salt, part.id, part.tokens);
+void PrefixBlockIndex::recordExpected(const EngineId& engine, const std::string& salt,
+                                      std::span<const PromptBlock> blocks) {
+  std::uint32_t slot = slotFor(engine);
+  for (const auto& part : blocks) setTokens(slot, salt, part.id, part.tokens);
 }
 
-void PartIndex::forget(const EngineId& engine) {
-  auto found = slotOf_.find(engine);
-  if (found == slotOf_.end()) return;
-  clear(found->second);
+void PrefixBlockIndex::removeEngine(const EngineId& engine) {
+  auto found = slotByEngine_.find(engine);
+  if (found == slotByEngine_.end()) return;
+  removeEntries(found->second);
   slots_[found->second] = {};
   freeSlots_.push_back(found->second);
-  slotOf_.erase(found);
+  slotByEngine_.erase(found);
 }
 
-std::int64_t PartIndex::keptTokens(const EngineId& engine, const std::string& salt,
-                                   std::span<const PartSize> parts) const {
-  auto slot = slotOf_.find(engine);
-  if (slot == slotOf_.end()) return 0;
-  std::int64_t kept = 0;
-  for (const auto& part : parts) {
+std::int64_t PrefixBlockIndex::cachedTokens(const EngineId& engine, const std::string& salt,
+                                            std::span<const PromptBlock> blocks) const {
+  auto slot = slotByEngine_.find(engine);
+  if (slot == slotByEngine_.end()) return 0;
+  std::int64_t cached = 0;
+  for (const auto& part : blocks) {
     const auto* found = entries(salt, part.id);
     if (found == nullptr) break;
     auto entry = std::ranges::find(*found, slot->second, &Entry::engine);
     if (entry == found->end()) break;
-    kept += std::min<std::int64_t>(entry->tokens, part.tokens);
-    if (!isWhole(entry->tokens, part.tokens)) break;
+    cached += std::min<std::int64_t>(entry->tokens, part.tokens);
+    if (!isComplete(entry->tokens, part.tokens)) break;
   }
-  return kept;
+  return cached;
 }
 
-std::vector<Holding> PartIndex::holdings(const std::string& salt,
-                                         std::span<const PartSize> parts) const {
-  struct Going {
+std::vector<CachedPrefix> PrefixBlockIndex::cachedPrefixes(
+    const std::string& salt, std::span<const PromptBlock> blocks) const {
+  struct PrefixMatch {
     std::uint32_t slot;
     std::int64_t tokens;
-    bool whole;
+    bool complete;
   };
-  std::vector<Going> going;
-  for (std::size_t index = 0; index < parts.size(); ++index) {
-    const auto* found = entries(salt, parts[index].id);
+  std::vector<PrefixMatch> matches;
+  for (std::size_t index = 0; index < blocks.size(); ++index) {
+    const auto* found = entries(salt, blocks[index].id);
     if (found == nullptr) break;
-    bool any = false;
+    bool anyComplete = false;
     for (const auto& entry : *found) {
-      std::int64_t tokens = std::min<std::int64_t>(entry.tokens, parts[index].tokens);
-      bool whole = isWhole(entry.tokens, parts[index].tokens);
+      std::int64_t tokens = std::min<std::int64_t>(entry.tokens, blocks[index].tokens);
+      bool whole = isComplete(entry.tokens, blocks[index].tokens);
       if (index == 0) {
-        going.push_back({entry.engine, tokens, whole});
+        matches.push_back({entry.engine, tokens, whole});
       } else {
-        auto before = std::ranges::find(going, entry.engine, &Going::slot);
-        if (before == going.end() || !before->whole) continue;
-        before->tokens += tokens;
+        auto previous = std::ranges::find(matches, entry.engine, &PrefixMatch::slot);
+        if (previous == matches.end() || !previous->complete) continue;
+        previous->tokens += tokens;
         // Complete up to this block only if all blocks before it were complete.
-        before->whole = whole;
+        previous->complete = whole;
       }
-      any = any || whole;
+      anyComplete = anyComplete || whole;
     }
-    for (auto& one : going)  // the prefix ends for engines without this block
-      if (one.whole && std::ranges::find(*found, one.slot, &Entry::engine) == found->end())
-        one.whole = false;
-    if (!any) break;
+    for (auto& match : matches)  // the prefix ends for engines without this block
+      if (match.complete && std::ranges::find(*found, match.slot, &Entry::engine) == found->end())
+        match.complete = false;
+    if (!anyComplete) break;
   }
-  std::vector<Holding> holdings;
-  holdings.reserve(going.size());
-  for (const auto& one : going) holdings.push_back({slots_[one.slot].engine, one.tokens});
-  return holdings;
+  std::vector<CachedPrefix> prefixes;
+  prefixes.reserve(matches.size());
+  for (const auto& match : matches) prefixes.push_back({slots_[match.slot].engine, match.tokens});
+  return prefixes;
 }
 
-std::vector<EngineId> PartIndex::holders(const std::string& salt, const std::string& part) const {
-  std::vector<EngineId> holders;
-  if (const auto* found = entries(salt, part))
-    for (const auto& entry : *found) holders.push_back(slots_[entry.engine].engine);
-  return holders;
+std::vector<EngineId> PrefixBlockIndex::enginesWithBlock(const std::string& salt,
+                                                         const std::string& block) const {
+  std::vector<EngineId> engines;
+  if (const auto* found = entries(salt, block))
+    for (const auto& entry : *found) engines.push_back(slots_[entry.engine].engine);
+  return engines;
 }
 
-std::size_t PartIndex::holderCount(const std::string& salt, const std::string& part) const {
-  const auto* found = entries(salt, part);
+std::size_t PrefixBlockIndex::engineCount(const std::string& salt, const std::string& block) const {
+  const auto* found = entries(salt, block);
   return found == nullptr ? 0 : found->size();
 }
 
-std::optional<PartMark> PartIndex::known(const EngineId& engine) const {
-  auto found = slotOf_.find(engine);
-  if (found == slotOf_.end() || !slots_[found->second].told) return std::nullopt;
-  return slots_[found->second].mark;
+std::optional<ChangePosition> PrefixBlockIndex::knownPosition(const EngineId& engine) const {
+  auto found = slotByEngine_.find(engine);
+  if (found == slotByEngine_.end() || !slots_[found->second].hasPosition) return std::nullopt;
+  return slots_[found->second].position;
 }
 
-PrefixBlockUpdate PartIndex::whole(const EngineId& engine) const {
-  PrefixBlockUpdate news;
-  news.engine = engine;
-  news.whole = true;
-  auto found = slotOf_.find(engine);
-  if (found == slotOf_.end()) return news;
-  const Slot& slot = slots_[found->second];
-  news.epoch = slot.mark.epoch;
-  news.from = news.next = slot.mark.next;
+PrefixBlockUpdate PrefixBlockIndex::completeUpdate(const EngineId& engine) const {
+  PrefixBlockUpdate update;
+  update.engine = engine;
+  update.isComplete = true;
+  auto found = slotByEngine_.find(engine);
+  if (found == slotByEngine_.end()) return update;
+  const EngineSlot& slot = slots_[found->second];
+  update.epoch = slot.position.epoch;
+  update.firstSequence = update.nextSequence = slot.position.next;
   std::uint32_t last = UINT32_MAX;
-  for (const auto* part : slot.parts) {
+  for (const auto* part : slot.blocks) {
     const auto& [key, holders] = *part;
-    news.salts.push_back(key.salt == last ? std::string() : *saltTexts_[key.salt]);
+    update.salts.push_back(key.salt == last ? std::string() : *saltTexts_[key.salt]);
     last = key.salt;
-    news.parts.push_back(key.part);
-    news.tokens.push_back(std::ranges::find(holders, found->second, &Entry::engine)->tokens);
+    update.blocks.push_back(key.part);
+    update.tokens.push_back(std::ranges::find(holders, found->second, &Entry::engine)->tokens);
   }
-  return news;
+  return update;
 }
 
-std::vector<EngineId> PartIndex::engines() const {
+std::vector<EngineId> PrefixBlockIndex::engines() const {
   std::vector<EngineId> engines;
-  for (const auto& [engine, slot] : slotOf_) engines.push_back(engine);
+  for (const auto& [engine, slot] : slotByEngine_) engines.push_back(engine);
   return engines;
 }
 
--- a/src/prompts/part_index.h
+++ b/src/prompts/part_index.h
@@ -17,69 +17,70 @@
 namespace peppergate {
 
 /// The length of a prompt's prefix that an engine caches.
-struct Holding {
+struct CachedPrefix {
   EngineId engine;
   std::int64_t tokens = 0;
 };
 
 /// The position up to which the changes of one engine are known.
-struct PartMark {
+struct ChangePosition {
   std::uint64_t epoch = 0, next = 0;
 };
 
 /// The time of a lookup depends on the number of its blocks and their holders, not on the size of
 /// the index.
-class PartIndex final : public KeptParts {
+class PrefixBlockIndex final : public PrefixBlockRecorder {
  public:
   /// Applies a watcher's update; false if earlier changes are missing here.
-  bool hear(const PrefixBlockUpdate& news);
+  bool apply(const PrefixBlockUpdate& update);
   /// Records the blocks that an engine is expected to cache after a request's first event.
-  void expect(const EngineId& engine, const std::string& salt,
-              std::span<const PartSize> parts) override;
+  void recordExpected(const EngineId& engine, const std::string& salt,
+                      std::span<const PromptBlock> blocks) override;
   /// Removes all entries of an engine that restarted or left the list.
-  void forget(const EngineId& engine);
+  void removeEngine(const EngineId& engine);
   /// The prefix tokens that the engine caches: complete blocks in order, and the available tokens
   /// of the first incomplete one.
-  std::int64_t keptTokens(const EngineId& engine, const std::string& salt,
-                          std::span<const PartSize> parts) const;
+  std::int64_t cachedTokens(const EngineId& engine, const std::string& salt,
+                            std::span<const PromptBlock> blocks) const;
   /// The same for all engines that cache any of it, in no order.
-  std::vector<Holding> holdings(const std::string& salt, std::span<const PartSize> parts) const;
+  std::vector<CachedPrefix> cachedPrefixes(const std::string& salt,
+                                           std::span<const PromptBlock> blocks) const;
   /// The engines that cache any tokens of a block.
-  std::vector<EngineId> holders(const std::string& salt, const std::string& part) const;
+  std::vector<EngineId> enginesWithBlock(const std::string& salt, const std::string& block) const;
   /// The number of engines that cache any tokens of a block.
-  std::size_t holderCount(const std::string& salt, const std::string& part) const;
+  std::size_t engineCount(const std::string& salt, const std::string& block) const;
   /// The position up to which an engine's changes are known, from which a new watcher continues
   /// polling; nothing if no update of the engine was received.
-  std::optional<PartMark> known(const EngineId& engine) const;
+  std::optional<ChangePosition> knownPosition(const EngineId& engine) const;
   /// A complete update for a router that lacks changes.
-  PrefixBlockUpdate whole(const EngineId& engine) const;
+  PrefixBlockUpdate completeUpdate(const EngineId& engine) const;
   /// Engines with entries or a known position.
   std::vector<EngineId> engines() const;
   /// The number of entries, each one a block at one engine.
   std::size_t size() const { return size_; }
 
  private:
-  struct PartKey {
+  struct BlockKey {
     std::uint32_t salt = 0;
     std::string part;
   };
-  struct PartView {
+  struct BlockKeyView {
     std::uint32_t salt = 0;
     std::string_view part;
   };
-  struct Hash {
+  struct BlockKeyHash {
     using is_transparent = void;
-    std::size_t operator()(const PartView& view) const {
+    std::size_t operator()(const BlockKeyView& view) const {
       return std::hash<std::string_view>{}(view.part) * 31 + view.salt;
     }
-    std::size_t operator()(const PartKey& key) const {
-      return (*this)(PartView{key.salt, key.part});
+    std::size_t operator()(const BlockKey& key) const {
+      return (*this)(BlockKeyView{key.salt, key.part});
     }
   };
-  struct Same {
+  struct BlockKeyEqual {
     using is_transparent = void;
-    static PartView view(const PartKey& key) { return {key.salt, key.part}; }
-    static PartView view(const PartView& key) { return key; }
+    static BlockKeyView view(const BlockKey& key) { return {key.salt, key.part}; }
+    static BlockKeyView view(const BlockKeyView& key) { return key; }
     template <class A, class B>
     bool operator()(const A& a, const B& b) const {
       return view(a).salt == view(b).salt && view(a).part == view(b).part;
@@ -88,28 +89,29 @@
   struct Entry {
     std::uint32_t engine = 0;  // index of its slot
     std::int32_t tokens = 0;
-    std::uint32_t place = 0;  // position in the slot's block list
+    std::uint32_t position = 0;  // position in the slot's block list
   };
-  using Kept = std::unordered_map<PartKey, std::vector<Entry>, Hash, Same>;
-  struct Slot {
+  using BlockMap = std::unordered_map<BlockKey, std::vector<Entry>, BlockKeyHash, BlockKeyEqual>;
+  struct EngineSlot {
     EngineId engine;
-    bool told = false;  // an update was received from a watcher
-    PartMark mark;
-    std::vector<Kept::value_type*> parts;
+    bool hasPosition = false;  // an update was received from a watcher
+    ChangePosition position;
+    std::vector<BlockMap::value_type*> blocks;
   };
 
-  std::uint32_t slotOf(const EngineId& engine);
-  std::uint32_t saltNumber(std::string_view salt);
-  const std::vector<Entry>* entries(std::string_view salt, std::string_view part) const;
-  void put(std::uint32_t slot, std::string_view salt, std::string_view part, std::int64_t tokens);
-  void drop(std::uint32_t slot, Kept::iterator found);
-  void clear(std::uint32_t slot);
+  std::uint32_t slotFor(const EngineId& engine);
+  std::uint32_t saltId(std::string_view salt);
+  const std::vector<Entry>* entries(std::string_view salt, std::string_view block) const;
+  void setTokens(std::uint32_t slot, std::string_view salt, std::string_view block,
+                 std::int64_t tokens);
+  void removeEntry(std::uint32_t slot, BlockMap::iterator found);
+  void removeEntries(std::uint32_t slot);
 
-  Kept kept_;
-  std::map<std::string, std::uint32_t, std::less<>> salts_;  // few: domains times versions
+  BlockMap blocks_;
+  std::map<std::string, std::uint32_t, std::less<>> saltIds_;  // few: domains times versions
   std::vector<const std::string*> saltTexts_;
-  std::map<EngineId, std::uint32_t> slotOf_;
-  std::vector<Slot> slots_;
+  std::map<EngineId, std::uint32_t> slotByEngine_;
+  std::vector<EngineSlot> slots_;
   std::vector<std::uint32_t> freeSlots_;
   std::size_t size_ = 0;
 };
--- a/src/prompts/part_watch.cc
+++ b/src/prompts/part_watch.cc
@@ -10,289 +10,298 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kScanEvery =
+constexpr Duration kScanInterval =
     milliseconds(500);  // interval of checks for added and removed engines
 // Delay of an update for merging further changes, and of the next poll after an answer.
-constexpr FleetPace kCoalesce{milliseconds(100), milliseconds(5), milliseconds(500)};
-constexpr double kToldWithin = 0.9;         // fraction of the time between two broadcasts
-constexpr Duration kListGap = seconds(10);  // between two complete listings of one engine
-constexpr Duration kAskGap = seconds(3);    // between two requests for one engine's changes
-constexpr Duration kAnswerWait =
+constexpr BroadcastInterval kCoalescePace{milliseconds(100), milliseconds(5), milliseconds(500)};
+constexpr double kBroadcastFraction = 0.9;          // fraction of the time between two broadcasts
+constexpr Duration kListingInterval = seconds(10);  // between two complete listings of one engine
+constexpr Duration kRequestInterval = seconds(3);   // between two requests for one engine's changes
+constexpr Duration kCopyWait =
     milliseconds(400);  // for another router's copy, before the first poll
-constexpr Duration kFirstWait = milliseconds(500), kLongestWait = seconds(2);
+constexpr Duration kFirstRetryDelay = milliseconds(500), kLongestRetryDelay = seconds(2);
 // All updates use the same relay, since changes are numbered and must stay in order. The routers of
 // a zone whose relay failed request the changes that they lack.
-constexpr std::uint64_t kOneRelay = 0;
-constexpr int kStoreFailures = 2;  // after which no blocks are fetched from the store
+constexpr std::uint64_t kRelayKey = 0;
+constexpr int kStoreFailureLimit = 2;  // after which no blocks are fetched from the store
 
 }  // namespace
 
-PartWatch::PartWatch(const Options& options, Membership& membership, PartIndex& index)
+PrefixCacheWatcher::PrefixCacheWatcher(const Options& options, Membership& membership,
+                                       PrefixBlockIndex& index)
     : options_(options), membership_(membership), index_(index) {}
 
-void PartWatch::tick(EngineBook& book, const FleetConfig& config, MonotonicTime now,
-                     Outbox& outbox) {
-  std::vector<std::pair<EngineId, Address>> keepers;
-  if (now >= nextScan_)
+void PrefixCacheWatcher::tick(EngineRegistry& registry, const FleetConfig& config,
+                              MonotonicTime now, Outbox& outbox) {
+  std::vector<std::pair<EngineId, Address>> caches;
+  if (now >= nextScanAt_)
     for (const auto& [name, service] : config.services) {
-      if (service.store) keepers.emplace_back(storeId(), service.store->address);
+      if (service.store) caches.emplace_back(storeId(), service.store->address);
       if (!service.engine || service.engine->kvTokens <= 0) continue;
-      for (const EngineState* engine : book.of(name))
-        keepers.emplace_back(engine->listed.id, engine->listed.address);
+      for (const EngineState* engine : registry.enginesOf(name))
+        caches.emplace_back(engine->listed.id, engine->listed.address);
     }
-  tick(keepers, now, outbox);
+  tick(caches, now, outbox);
 }
 
-void PartWatch::tick(const std::vector<std::pair<EngineId, Address>>& keepers, MonotonicTime now,
-                     Outbox& outbox) {
-  if (now >= nextScan_) assign(keepers, now, outbox);
+void PrefixCacheWatcher::tick(const std::vector<std::pair<EngineId, Address>>& caches,
+                              MonotonicTime now, Outbox& outbox) {
+  if (now >= nextScanAt_) assignEngines(caches, now, outbox);
   for (auto& [engine, watched] : watched_)
-    if (watched.ticket.value == 0 && now >= watched.next) call(engine, watched, now, outbox);
+    if (watched.ticket.value == 0 && now >= watched.nextCallAt)
+      sendCall(engine, watched, now, outbox);
   flush(now, outbox);
 }
 
-void PartWatch::assign(const std::vector<std::pair<EngineId, Address>>& keepers, MonotonicTime now,
-                       Outbox& outbox) {
-  nextScan_ = now + kScanEvery;
-  coalesce_ = kCoalesce.between(membership_.frontCount());
-  auto fronts = membership_.liveFronts();
-  if (!ring_.isFor(fronts)) ring_ = Ring(fronts);
+void PrefixCacheWatcher::assignEngines(const std::vector<std::pair<EngineId, Address>>& caches,
+                                       MonotonicTime now, Outbox& outbox) {
+  nextScanAt_ = now + kScanInterval;
+  coalesceDelay_ = kCoalescePace.forMembers(membership_.routerCount());
+  auto fronts = membership_.liveRouters();
+  if (!ring_.isBuiltFrom(fronts)) ring_ = HashRing(fronts);
   MemberId self = membership_.self().member;
   std::set<EngineId> listed;
-  for (const auto& [engine, address] : keepers) {
+  for (const auto& [engine, address] : caches) {
     listed.insert(engine);
     auto owners = ring_.owners(engine, 2);
-    bool mine = !owners.empty() && owners[0] == self;
-    auto known = index_.known(engine);
-    if (!mine) {
+    bool isOwner = !owners.empty() && owners[0] == self;
+    auto known = index_.knownPosition(engine);
+    if (!isOwner) {
       watched_.erase(engine);
-      if (!known && !owners.empty()) ask(membership_.addressOf(owners[0]), engine, now, outbox);
+      if (!known && !owners.empty())
+        requestUpdate(membership_.addressOf(owners[0]), engine, now, outbox);
       continue;
     }
-    auto [found, fresh] = watched_.try_emplace(engine);
-    Watched& watched = found->second;
-    if (fresh || watched.address != address) {
-      watched = Watched{};
+    auto [found, added] = watched_.try_emplace(engine);
+    WatchedEngine& watched = found->second;
+    if (added || watched.address != address) {
+      watched = WatchedEngine{};
       watched.address = address;
       outbox.count("parts.watched");
       if (known) {
-        watched.since = watched.told = known->next;  // continues the previous watcher's polls
+        watched.polledUpTo = watched.sentUpTo =
+            known->next;  // continues the previous watcher's polls
       } else if (owners.size() > 1) {
-        ask(membership_.addressOf(owners[1]), engine, now, outbox);
-        watched.next = now + kAnswerWait;
+        requestUpdate(membership_.addressOf(owners[1]), engine, now, outbox);
+        watched.nextCallAt = now + kCopyWait;
       }
     }
   }
   std::erase_if(watched_, [&](const auto& entry) { return !listed.contains(entry.first); });
-  std::erase_if(asked_, [&](const auto& entry) { return !listed.contains(entry.first); });
-  if (keepers.empty()) return;  // no engine list yet
+  std::erase_if(requestedAt_, [&](const auto& entry) { return !listed.contains(entry.first); });
+  if (caches.empty()) return;  // no engine list yet
   for (const auto& engine : index_.engines())
-    if (!listed.contains(engine)) index_.forget(engine);
+    if (!listed.contains(engine)) index_.removeEngine(engine);
 }
 
-void PartWatch::call(const EngineId& engine, Watched& watched, MonotonicTime now, Outbox& outbox) {
-  TicketId ticket = outbox.ticket();
-  open_[ticket] = engine;
+void PrefixCacheWatcher::sendCall(const EngineId& engine, WatchedEngine& watched, MonotonicTime now,
+                                  Outbox& outbox) {
+  TicketId ticket = outbox.newTicket();
+  openCalls_[ticket] = engine;
   watched.ticket = ticket;
-  if (watched.wantsList) {
-    watched.wantsList = false;
+  if (watched.needsListing) {
+    watched.needsListing = false;
     watched.listedAt = now;
     outbox.count("parts.lists");
-    outbox.push(ListParts{ticket, watched.address});
+    outbox.push(ListPrefixBlocks{ticket, watched.address});
     return;
   }
   outbox.count("parts.polls");
-  outbox.push(PollParts{ticket, watched.address, watched.since});
+  outbox.push(PollPrefixBlocks{ticket, watched.address, watched.polledUpTo});
 }
 
-PrefixBlockUpdate PartWatch::newsOf(const EngineId& engine,
-                                    const std::vector<PartChange>& changes) {
-  std::map<std::pair<std::string_view, std::string_view>, std::int64_t> last;  // by salt
+PrefixBlockUpdate PrefixCacheWatcher::updateFrom(const EngineId& engine,
+                                                 const std::vector<PrefixBlockChange>& changes) {
+  std::map<std::pair<std::string_view, std::string_view>, std::int64_t> lastTokens;  // by salt
   for (const auto& change : changes)
-    last[{change.salt, change.part}] = std::max<std::int64_t>(0, change.tokens);
-  PrefixBlockUpdate news;
-  news.engine = engine;
+    lastTokens[{change.salt, change.block}] = std::max<std::int64_t>(0, change.tokens);
+  PrefixBlockUpdate update;
+  update.engine = engine;
   std::string_view salt;
-  for (const auto& [name, tokens] : last) {
+  for (const auto& [name, tokens] : lastTokens) {
     if (name.first.empty()) continue;  // not cached under a salt of this fleet
-    news.salts.emplace_back(name.first == salt ? std::string_view{} : name.first);
+    update.salts.emplace_back(name.first == salt ? std::string_view{} : name.first);
     salt = name.first;
-    news.parts.emplace_back(name.second);
-    news.tokens.push_back(tokens);
+    update.blocks.emplace_back(name.second);
+    update.tokens.push_back(tokens);
   }
-  return news;
+  return update;
 }
 
-PartWatch::Watched* PartWatch::answered(TicketId ticket, EngineId& engine) {
-  auto open = open_.find(ticket);
+PrefixCacheWatcher::WatchedEngine* PrefixCacheWatcher::takeAnswered(TicketId ticket,
+                                                                    EngineId& engine) {
+  auto open = openCalls_.find(ticket);
   engine = std::move(open->second);
-  open_.erase(open);
+  openCalls_.erase(open);
   auto found = watched_.find(engine);
   if (found == watched_.end() || found->second.ticket != ticket) return nullptr;
   found->second.ticket = {};
   return &found->second;
 }
 
-bool PartWatch::polled(const PartsPolled& answer, MonotonicTime now, Outbox& outbox) {
+bool PrefixCacheWatcher::handlePoll(const PrefixBlocksPolled& answer, MonotonicTime now,
+                                    Outbox& outbox) {
   EngineId engine;
-  if (!open_.contains(answer.ticket)) return false;
-  Watched* found = answered(answer.ticket, engine);
+  if (!openCalls_.contains(answer.ticket)) return false;
+  WatchedEngine* found = takeAnswered(answer.ticket, engine);
   if (found == nullptr) return true;  // reassigned to another router meanwhile
-  Watched& watched = *found;
+  WatchedEngine& watched = *found;
   if (answer.status != 200) {
-    failed(engine, watched, answer.status, now, outbox);
+    handleFailure(engine, watched, answer.status, now, outbox);
     return true;
   }
   watched.failures = 0;
-  watched.next = now + coalesce_;
-  auto known = index_.known(engine);
-  if (known && known->epoch != answer.epoch && watched.since != 0) {
+  watched.nextCallAt = now + coalesceDelay_;
+  auto known = index_.knownPosition(engine);
+  if (known && known->epoch != answer.epoch && watched.polledUpTo != 0) {
     // The engine restarted: a poll from position 0 returns everything, unless changes were lost.
     outbox.count("parts.otherEpoch");
-    watched.since = watched.told = 0;
-    watched.next = now;
+    watched.polledUpTo = watched.sentUpTo = 0;
+    watched.nextCallAt = now;
     PrefixBlockUpdate empty;
     empty.engine = engine;
     empty.epoch = answer.epoch;
-    empty.whole = true;
-    index_.hear(empty);
-    tell(std::move(empty), now);
+    empty.isComplete = true;
+    index_.apply(empty);
+    queueUpdate(std::move(empty), now);
     return true;
   }
   if (answer.lost) {
     outbox.count("parts.lost");
-    watched.wantsList = now - watched.listedAt >= kListGap;
-    if (watched.wantsList) watched.next = now;
+    watched.needsListing = now - watched.listedAt >= kListingInterval;
+    if (watched.needsListing) watched.nextCallAt = now;
   }
-  PrefixBlockUpdate news = newsOf(engine, answer.changes);
-  news.epoch = answer.epoch;
-  news.from = watched.told;
-  news.next = watched.since = answer.next;
-  index_.hear(news);
-  if (news.parts.empty() && known) return true;  // the new position is sent with the next change
-  watched.told = news.next;
-  tell(std::move(news), now);
+  PrefixBlockUpdate update = updateFrom(engine, answer.changes);
+  update.epoch = answer.epoch;
+  update.firstSequence = watched.sentUpTo;
+  update.nextSequence = watched.polledUpTo = answer.next;
+  index_.apply(update);
+  if (update.blocks.empty() && known) return true;  // the new position is sent with the next change
+  watched.sentUpTo = update.nextSequence;
+  queueUpdate(std::move(update), now);
   return true;
 }
 
-bool PartWatch::listed(const PartsListed& answer, MonotonicTime now, Outbox& outbox) {
+bool PrefixCacheWatcher::handleListing(const PrefixBlocksListed& answer, MonotonicTime now,
+                                       Outbox& outbox) {
   EngineId engine;
-  if (!open_.contains(answer.ticket)) return false;
-  Watched* found = answered(answer.ticket, engine);
+  if (!openCalls_.contains(answer.ticket)) return false;
+  WatchedEngine* found = takeAnswered(answer.ticket, engine);
   if (found == nullptr) return true;
-  Watched& watched = *found;
+  WatchedEngine& watched = *found;
   if (answer.status != 200) {
-    failed(engine, watched, answer.status, now, outbox);
+    handleFailure(engine, watched, answer.status, now, outbox);
     return true;
   }
   watched.failures = 0;
-  watched.next = now;
-  watched.since = watched.told = answer.next;
-  PrefixBlockUpdate news = newsOf(engine, answer.held);
-  news.epoch = answer.epoch;
-  news.from = news.next = answer.next;
-  news.whole = true;
-  index_.hear(news);
-  tell(std::move(news), now);
+  watched.nextCallAt = now;
+  watched.polledUpTo = watched.sentUpTo = answer.next;
+  PrefixBlockUpdate update = updateFrom(engine, answer.blocks);
+  update.epoch = answer.epoch;
+  update.firstSequence = update.nextSequence = answer.next;
+  update.isComplete = true;
+  index_.apply(update);
+  queueUpdate(std::move(update), now);
   return true;
 }
 
-void PartWatch::failed(const EngineId& engine, Watched& watched, int status, MonotonicTime now,
-                       Outbox& outbox) {
+void PrefixCacheWatcher::handleFailure(const EngineId& engine, WatchedEngine& watched, int status,
+                                       MonotonicTime now, Outbox& outbox) {
   outbox.count(status == 429 ? "parts.tooMany" : "parts.failed");
-  Duration wait = kFirstWait * static_cast<double>(1 << std::min(watched.failures, 3));
-  watched.next = now + std::min(wait, kLongestWait);
+  Duration wait = kFirstRetryDelay * static_cast<double>(1 << std::min(watched.failures, 3));
+  watched.nextCallAt = now + std::min(wait, kLongestRetryDelay);
   ++watched.failures;
-  if (engine != storeId() || status == 429 || watched.failures != kStoreFailures) return;
+  if (engine != storeId() || status == 429 || watched.failures != kStoreFailureLimit) return;
   // No request may wait for a failed store. It reports all its blocks again once it is back.
-  watched.since = watched.told = 0;
+  watched.polledUpTo = watched.sentUpTo = 0;
   PrefixBlockUpdate empty;
   empty.engine = engine;
-  empty.whole = true;
-  index_.hear(empty);
-  tell(std::move(empty), now);
-  outbox.push(NoteState{"prefix block store does not answer"});
+  empty.isComplete = true;
+  index_.apply(empty);
+  queueUpdate(std::move(empty), now);
+  outbox.push(LogState{"prefix block store does not answer"});
 }
 
-void PartWatch::ask(const Address& whom, const EngineId& engine, MonotonicTime now,
-                    Outbox& outbox) {
-  auto [asked, fresh] = asked_.try_emplace(engine, now);
-  if (!fresh && now - asked->second < kAskGap) return;
-  asked->second = now;
-  auto known = index_.known(engine).value_or(PartMark{});
+void PrefixCacheWatcher::requestUpdate(const Address& receiver, const EngineId& engine,
+                                       MonotonicTime now, Outbox& outbox) {
+  auto [entry, fresh] = requestedAt_.try_emplace(engine, now);
+  if (!fresh && now - entry->second < kRequestInterval) return;
+  entry->second = now;
+  auto known = index_.knownPosition(engine).value_or(ChangePosition{});
   outbox.count("parts.asked");
-  outbox.send(whom, PrefixBlockRequest{engine, known.epoch, known.next});
+  outbox.send(receiver, PrefixBlockRequest{engine, known.epoch, known.next});
 }
 
-void PartWatch::hear(const Address& from, const PrefixBlockUpdate& news, MonotonicTime now,
-                     Outbox& outbox) {
-  if (news.relay) passOn(news, now, outbox);
-  bool complete = index_.hear(news);
-  auto found = watched_.find(news.engine);
+void PrefixCacheWatcher::handle(const Address& from, const PrefixBlockUpdate& update,
+                                MonotonicTime now, Outbox& outbox) {
+  if (update.relay) relay(update, now, outbox);
+  bool hasAllChanges = index_.apply(update);
+  auto found = watched_.find(update.engine);
   if (found != watched_.end()) {
     // The answer to a request sent before the first poll, or a previous watcher's last update.
-    auto known = index_.known(news.engine);
-    if (found->second.ticket.value == 0 && known && found->second.since < known->next) {
-      found->second.since = found->second.told = known->next;
-      found->second.next = now;
+    auto known = index_.knownPosition(update.engine);
+    if (found->second.ticket.value == 0 && known && found->second.polledUpTo < known->next) {
+      found->second.polledUpTo = found->second.sentUpTo = known->next;
+      found->second.nextCallAt = now;
     }
     return;
   }
-  if (complete) return;
+  if (hasAllChanges) return;
   outbox.count("parts.gaps");
-  ask(from, news.engine, now, outbox);
+  requestUpdate(from, update.engine, now, outbox);
 }
 
-void PartWatch::hear(const Address& from, const PrefixBlockRequest& ask, MonotonicTime,
-                     Outbox& outbox) {
-  auto known = index_.known(ask.engine);
+void PrefixCacheWatcher::handle(const Address& from, const PrefixBlockRequest& request,
+                                MonotonicTime, Outbox& outbox) {
+  auto known = index_.knownPosition(request.engine);
   if (!known) return;
-  if (known->epoch == ask.epoch && known->next < ask.next) return;
+  if (known->epoch == request.epoch && known->next < request.nextSequence) return;
   outbox.count("parts.told");
-  outbox.send(from, index_.whole(ask.engine));
+  outbox.send(from, index_.completeUpdate(request.engine));
 }
 
-void PartWatch::passOn(PrefixBlockUpdate news, MonotonicTime now, Outbox& outbox) {
-  news.relay = false;
+void PrefixCacheWatcher::relay(PrefixBlockUpdate update, MonotonicTime now, Outbox& outbox) {
+  update.relay = false;
   outbox.count("parts.relayed");
   std::vector<Message> messages;
-  messages.emplace_back(std::move(news));
-  relayed_.begin(zonePeers(membership_.liveFronts(), membership_.self()), std::move(messages),
-                 kRelaySpan, now);
+  messages.emplace_back(std::move(update));
+  relayBroadcast_.begin(zonePeers(membership_.liveRouters(), membership_.self()),
+                        std::move(messages), kRelaySpan, now);
 }
 
-void PartWatch::tell(PrefixBlockUpdate news, MonotonicTime now) {
-  auto [found, fresh] = pending_.try_emplace(news.engine, Pending{now, {}});
-  Pending& pending = found->second;
-  if (fresh || news.whole || pending.news.epoch != news.epoch) {
-    pending.news = std::move(news);
+void PrefixCacheWatcher::queueUpdate(PrefixBlockUpdate update, MonotonicTime now) {
+  auto [found, fresh] = pendingUpdates_.try_emplace(update.engine, PendingUpdate{now, {}});
+  PendingUpdate& pending = found->second;
+  if (fresh || update.isComplete || pending.update.epoch != update.epoch) {
+    pending.update = std::move(update);
     return;
   }
   // Later changes are appended, so the last change of a block takes effect.
-  pending.news.next = news.next;
-  if (pending.news.whole) pending.news.from = news.next;
-  for (std::size_t index = 0; index < news.parts.size(); ++index) {
-    pending.news.salts.push_back(std::move(news.salts[index]));
-    pending.news.parts.push_back(std::move(news.parts[index]));
-    pending.news.tokens.push_back(news.tokens[index]);
+  pending.update.nextSequence = update.nextSequence;
+  if (pending.update.isComplete) pending.update.firstSequence = update.nextSequence;
+  for (std::size_t index = 0; index < update.blocks.size(); ++index) {
+    pending.update.salts.push_back(std::move(update.salts[index]));
+    pending.update.blocks.push_back(std::move(update.blocks[index]));
+    pending.update.tokens.push_back(update.tokens[index]);
   }
 }
 
-void PartWatch::flush(MonotonicTime now, Outbox& outbox) {
-  told_.tick(now, outbox);
-  relayed_.tick(now, outbox);
-  if (pending_.empty()) return;
-  bool due = std::ranges::any_of(
-      pending_, [&](const auto& entry) { return now - entry.second.since >= coalesce_; });
+void PrefixCacheWatcher::flush(MonotonicTime now, Outbox& outbox) {
+  updateBroadcast_.tick(now, outbox);
+  relayBroadcast_.tick(now, outbox);
+  if (pendingUpdates_.empty()) return;
+  bool due = std::ranges::any_of(pendingUpdates_, [&](const auto& entry) {
+    return now - entry.second.since >= coalesceDelay_;
+  });
   if (!due) return;
   // Sends all pending updates together, so that each router receives one write.
   std::vector<Message> messages;
-  for (auto& [engine, pending] : std::exchange(pending_, {}))
-    messages.emplace_back(std::move(pending.news));
-  auto routers = membership_.liveFronts();
-  told_.beginRelayed(relayTargets(routers, membership_.self(), kOneRelay), std::move(messages),
-                     coalesce_ * kToldWithin, now);
-  told_.tick(now, outbox);
+  for (auto& [engine, pending] : std::exchange(pendingUpdates_, {}))
+    messages.emplace_back(std::move(pending.update));
+  auto routers = membership_.liveRouters();
+  updateBroadcast_.beginRelayed(relayTargets(routers, membership_.self(), kRelayKey),
+                                std::move(messages), coalesceDelay_ * kBroadcastFraction, now);
+  updateBroadcast_.tick(now, outbox);
 }
 
 }  // namespace peppergate
--- a/src/prompts/placement.h
+++ b/src/prompts/placement.h
@@ -20,7 +20,7 @@
 namespace peppergate {
 
 /// The requirements of a request on its engine.
-struct PlacementAsk {
+struct PlacementRequest {
   RequestId request;
   const Route* route = nullptr;
   ServiceName service;
@@ -28,124 +28,130 @@
   TenantId tenant;
   bool isolated = false;
   int urgency = 0;  // from 0, the most urgent, to 9
-  std::span<const PartSize> parts;
-  std::int64_t tokensIn = 0, tokensOut = 0;
+  std::span<const PromptBlock> promptBlocks;
+  std::int64_t promptTokens = 0, outputTokens = 0;
   Duration timeLeft;
-  std::span<const EngineId> tried;  // engines of earlier attempts, excluded
+  std::span<const EngineId> triedEngines;  // engines of earlier attempts, excluded
 };
 
 /// The placement of one attempt. `salt` contains the cache domain and the weights version, so
 /// that no engine reuses a block across them.
-struct Placed {
+struct PlacementDecision {
   EngineId engine;
   Address address;
   std::optional<WeightsVersion> version;
   std::string salt;
   std::optional<Address> collectFrom, depositAt;
-  std::int64_t toRead = 0;  // prompt tokens that need prefill
-  Duration forecast;        // expected time until the first event
+  std::int64_t prefillTokens = 0;  // prompt tokens that need prefill
+  Duration expectedFirstEvent;     // expected time until the first event
 };
 
-enum class PlaceFault : std::uint8_t { kNoEngine, kFull };
+enum class PlacementFailure : std::uint8_t { kNoEngine, kFull };
 
 /// Why a request was rejected, and after which time it should be retried.
-struct PlaceRefusal {
-  PlaceFault fault = PlaceFault::kNoEngine;
-  Duration comeBack;
+struct PlacementRejection {
+  PlacementFailure reason = PlacementFailure::kNoEngine;
+  Duration retryAfter;
 };
 
 /// Selects the engine with the lowest cost, weighing its cached blocks against queues, batches and
 /// block fetches.
 class Placement final : public Placer {
  public:
-  Placement(const Options& options, EngineBook& book, PartIndex& index, FetchDesk& fetches,
-            Random& random);
+  Placement(const Options& options, EngineRegistry& registry, PrefixBlockIndex& index,
+            FetchPlanner& fetches, Random& random);
   /// Sets the zone of this router. Engines in other zones cost slightly more.
-  void in(Zone zone) { zone_ = std::move(zone); }
+  void setZone(Zone zone) { zone_ = std::move(zone); }
   /// Sets the rate levels and classes configured by the operators.
-  void take(const Setup& setup);
+  void setOperatorSetup(const Setup& setup);
   /// Selects the engine for one attempt, or says why there is none.
-  std::variant<Placed, PlaceRefusal> place(const PlacementAsk& ask, const FleetConfig& config,
-                                           const Weights& weights, MonotonicTime now,
-                                           Outbox& outbox) override;
+  std::variant<PlacementDecision, PlacementRejection> place(
+      const PlacementRequest& placementRequest, const FleetConfig& config, const Weights& weights,
+      MonotonicTime now, Outbox& outbox) override;
   /// Records the time to the first event, which also ends a planned block fetch.
-  void firstEvent(RequestId request, Duration took, MonotonicTime now, Outbox& outbox) override;
+  void recordFirstEvent(RequestId request, Duration elapsed, MonotonicTime now,
+                        Outbox& outbox) override;
   /// Records that the attempt ended without a first event.
-  void dropped(RequestId request) override;
+  void endedWithoutEvent(RequestId request) override;
   /// The prompt tokens that need prefill when this many are cached.
-  static std::int64_t toRead(const PlacementAsk& ask, std::int64_t kept);
+  static std::int64_t prefillTokens(const PlacementRequest& placementRequest,
+                                    std::int64_t cachedTokens);
   /// Applies changes of the engine list and the configuration, and recomputes the fetch plan when
   /// due. Called on each tick.
   void tick(const FleetConfig& config, MonotonicTime now, Outbox& outbox);
   /// Records the current target weights. `since` is a lower bound for the time at which new targets
   /// among them were set; `kNever` if that is unknown.
-  void named(const Weights& weights, MonotonicTime since, MonotonicTime now);
+  void setTargetWeights(const Weights& weights, MonotonicTime since, MonotonicTime now);
   /// Extends the grace time of engines on older weights by a period without a leader, in which no
   /// weights could be loaded.
-  void withoutLeader(Duration silence) { namings_.postpone(silence); }
+  void addLeaderOutage(Duration duration) { targetHistory_.postpone(duration); }
   /// Restarts the grace time of older weights after a control failure, which ended at this moment.
-  void coreRestarted(MonotonicTime moment) { namings_.restart(moment); }
+  void restartGraceTime(MonotonicTime moment) { targetHistory_.restartBefore(moment); }
   /// Updates the link rates from the services' configuration.
-  void links(const FleetConfig& config);
+  void updateLinks(const FleetConfig& config);
   /// The report of this router's fetches for the other routers. Called every half second.
-  UsageNotification note(MemberId self, MonotonicTime now) {
-    return fetches_.note(self, plan_, now);
+  LinkUsageNotification usageReport(MemberId self, MonotonicTime now) {
+    return fetches_.makeNotification(self, fetchPlan_, now);
   }
   /// Handles another router's report of its fetches.
-  void hear(const UsageNotification& note, MonotonicTime now) { fetches_.hear(note, now); }
+  void handle(const LinkUsageNotification& report, MonotonicTime now) {
+    fetches_.record(report, now);
+  }
   /// Accessors for tests and the status page.
-  const ReadingSpeed& speed() const { return speed_; }
-  const Setup& plan() const { return plan_; }
+  const PrefillSpeedEstimator& prefillSpeed() const { return prefillSpeed_; }
+  const Setup& fetchPlan() const { return fetchPlan_; }
 
  private:
-  struct Choice;
-  struct Prompt;
-  struct Survey;
-  struct Service {  // hashes of its engines, in the registry's order
+  struct Candidate;
+  struct VersionedPrompt;
+  struct CandidateSearch;
+  struct ServiceHashes {  // hashes of its engines, in the registry's order
     ListVersion version;
-    std::vector<std::uint64_t> points;
-    std::vector<std::uint32_t> byPoint;
+    std::vector<std::uint64_t> hashes;
+    std::vector<std::uint32_t> byHash;
   };
-  struct Pending {
+  struct PendingPlacement {
     EngineId engine;
     ServiceName service;
-    double waitMs = 0, readMs = 0, tokens = 0;
-    bool collects = false;
+    double waitMs = 0, prefillMs = 0, prefillTokens = 0;
+    bool fetches = false;
   };
-  const Service& service(const ServiceName& name);
-  void consider(Survey& survey, std::size_t place);
-  void surveyAll(Survey& survey);
-  void surveySome(Survey& survey);
-  void survey(Survey& survey);
-  std::uint64_t homeKey(const Survey& survey) const;
-  void priceParts(Survey& survey, Choice& choice, bool mayCollect);
-  void rate(Survey& survey, bool mayCollect);
-  const Choice* best(const Survey& survey) const;
-  Prompt& promptOf(Survey& survey, WeightsVersion version);
+  const ServiceHashes& serviceHashes(const ServiceName& name);
+  void considerEngine(CandidateSearch& search, std::size_t engineIndex);
+  void considerAll(CandidateSearch& search);
+  void considerSample(CandidateSearch& search);
+  void findCandidates(CandidateSearch& search);
+  std::uint64_t homeKey(const CandidateSearch& search) const;
+  void estimateBlockCosts(CandidateSearch& search, Candidate& candidate, bool mayFetch);
+  void rateCandidates(CandidateSearch& search, bool mayFetch);
+  const Candidate* cheapestCandidate(const CandidateSearch& search) const;
+  VersionedPrompt& promptFor(CandidateSearch& search, WeightsVersion version);
   bool sourceUsable(const EngineId& source, MonotonicTime now) const;
   std::optional<Address> addressOf(const EngineId& source) const;
   Zone zoneOf(const EngineId& source) const;
-  bool planMove(Survey& survey, const Choice& choice, Placed& placed, Outbox& outbox);
-  Placed settled(Survey& survey, const Choice& choice, Placed placed, Outbox& outbox);
+  bool planFetch(CandidateSearch& search, const Candidate& candidate, PlacementDecision& decision,
+                 Outbox& outbox);
+  PlacementDecision finishPlacement(CandidateSearch& search, const Candidate& candidate,
+                                    PlacementDecision decision, Outbox& outbox);
   /// Whether a request that starts within this time may run on an engine with this version.
-  bool mayServe(const Survey& survey, WeightsVersion version, Duration beginsWithin) const;
-  PlaceRefusal refusal(const Survey& survey, Outbox& outbox);
+  bool mayServe(const CandidateSearch& search, WeightsVersion version, Duration startsWithin) const;
+  PlacementRejection rejection(const CandidateSearch& search, Outbox& outbox);
 
   Options options_;
-  EngineBook& book_;
-  PartIndex& index_;
-  FetchDesk& fetches_;
+  EngineRegistry& registry_;
+  PrefixBlockIndex& index_;
+  FetchPlanner& fetches_;
   Random& random_;
   Zone zone_;
-  std::optional<StoreShape> store_;
-  Setup operators_, plan_;  // as configured, and as in effect
+  std::optional<StoreConfig> store_;
+  Setup operatorSetup_, fetchPlan_;  // as configured, and as in effect
   ConfigVersion configVersion_;
   ListVersion listVersion_;
-  bool linked_ = false;
-  ReadingSpeed speed_;
-  std::map<ServiceName, Service> services_;
-  WeightNamings namings_;
-  std::unordered_map<std::uint64_t, Pending> pending_;  // by request id
+  bool linksCurrent_ = false;
+  PrefillSpeedEstimator prefillSpeed_;
+  std::map<ServiceName, ServiceHashes> serviceHashes_;
+  WeightTargetHistory targetHistory_;
+  std::unordered_map<std::uint64_t, PendingPlacement> pending_;  // by request id
 };
 
 }  // namespace peppergate
--- a/src/prompts/reading_speed.cc
+++ b/src/prompts/reading_speed.cc
@@ -5,38 +5,41 @@
 namespace peppergate {
 namespace {
 
-constexpr double kFewTokens = 1000;  // smaller samples are dominated by scheduling and network time
-constexpr double kOverheadMs = 10;   // network round trip and the first decoding step
-constexpr double kEngineKeep = 0.85, kServiceKeep = 0.95;
-constexpr double kSlowest = 1, kFastest = 100000;
+constexpr double kMinSampleTokens =
+    1000;                           // smaller samples are dominated by scheduling and network time
+constexpr double kOverheadMs = 10;  // network round trip and the first decoding step
+constexpr double kEngineRetention = 0.85, kServiceRetention = 0.95;
+constexpr double kMinTokensPerMs = 1, kMaxTokensPerMs = 100000;
 
-double blend(double old, double seen, double keep) {
+double blend(double previous, double sample, double retention) {
   // Slow samples have other causes than slow prefill: batching, fetches, stalled clients of a link.
-  if (seen < old) keep = 1 - (1 - keep) / 2;
-  return keep * old + (1 - keep) * seen;
+  if (sample < previous) retention = 1 - (1 - retention) / 2;
+  return retention * previous + (1 - retention) * sample;
 }
 
 }  // namespace
 
-double ReadingSpeed::of(const EngineId& engine, const ServiceName& service) const {
+double PrefillSpeedEstimator::tokensPerMs(const EngineId& engine,
+                                          const ServiceName& service) const {
   if (auto found = engines_.find(engine); found != engines_.end()) return found->second;
   if (auto found = services_.find(service); found != services_.end()) return found->second;
-  return kStart;
+  return kInitialTokensPerMs;
 }
 
-void ReadingSpeed::seen(const EngineId& engine, const ServiceName& service, double tokens,
-                        Duration took) {
-  if (tokens < kFewTokens) return;
-  double milliseconds = std::max(1.0, inSeconds(took) * 1000 - kOverheadMs);
-  double sample = std::clamp(tokens / milliseconds, kSlowest, kFastest);
-  double before = of(engine, service);
-  engines_[engine] = blend(before, std::clamp(sample, before / 4, before * 4), kEngineKeep);
-  auto [mean, fresh] = services_.try_emplace(service, kStart);
-  mean->second =
-      blend(mean->second, std::clamp(sample, mean->second / 4, mean->second * 4), kServiceKeep);
+void PrefillSpeedEstimator::addSample(const EngineId& engine, const ServiceName& service,
+                                      double tokens, Duration elapsed) {
+  if (tokens < kMinSampleTokens) return;
+  double milliseconds = std::max(1.0, inSeconds(elapsed) * 1000 - kOverheadMs);
+  double sample = std::clamp(tokens / milliseconds, kMinTokensPerMs, kMaxTokensPerMs);
+  double previous = tokensPerMs(engine, service);
+  engines_[engine] =
+      blend(previous, std::clamp(sample, previous / 4, previous * 4), kEngineRetention);
+  auto [mean, added] = services_.try_emplace(service, kInitialTokensPerMs);
+  mean->second = blend(mean->second, std::clamp(sample, mean->second / 4, mean->second * 4),
+                       kServiceRetention);
 }
 
-void ReadingSpeed::keepOnly(const std::set<EngineId>& engines) {
+void PrefillSpeedEstimator::keepOnly(const std::set<EngineId>& engines) {
   std::erase_if(engines_, [&](const auto& entry) { return !engines.contains(entry.first); });
 }
 
--- a/src/prompts/reading_speed.h
+++ b/src/prompts/reading_speed.h
@@ -9,13 +9,14 @@
 namespace peppergate {
 
 /// Moving averages of the prefill speed, for each engine and for each service.
-class ReadingSpeed {
+class PrefillSpeedEstimator {
  public:
-  static constexpr double kStart = 100;  // tokens per millisecond
+  static constexpr double kInitialTokensPerMs = 100;  // tokens per millisecond
   /// Tokens per millisecond of the engine, or of its service if the engine has no sample yet.
-  double of(const EngineId& engine, const ServiceName& service) const;
+  double tokensPerMs(const EngineId& engine, const ServiceName& service) const;
   /// Adds a sample: how long the prefill of these tokens, including those ahead of them, took.
-  void seen(const EngineId& engine, const ServiceName& service, double tokens, Duration took);
+  void addSample(const EngineId& engine, const ServiceName& service, double tokens,
+                 Duration elapsed);
   /// Drops the engines that aren't in the set.
   void keepOnly(const std::set<EngineId>& engines);
 
--- a/src/prompts/salt.h
+++ b/src/prompts/salt.h
@@ -9,18 +9,19 @@
 namespace peppergate {
 
 /// The domain is prefixed with its length, so that different domains and models never give the same
-/// salt. Examples: `saltOf({"desk"}, {"llm"}, {2}) == "4:desk/llm.2"`,
-/// `saltOf({""}, {"llm"}, {2}) == "/llm.2"`.
-inline std::string saltOf(const Wall& wall, const ModelName& model, WeightsVersion version) {
+/// salt. Examples: `cacheSalt({"desk"}, {"llm"}, {2}) == "4:desk/llm.2"`,
+/// `cacheSalt({""}, {"llm"}, {2}) == "/llm.2"`.
+inline std::string cacheSalt(const CacheDomain& domain, const ModelName& model,
+                             WeightsVersion version) {
   std::string salt;
-  if (!wall.value.empty()) salt = std::to_string(wall.value.size()) + ":" + wall.value;
+  if (!domain.value.empty()) salt = std::to_string(domain.value.size()) + ":" + domain.value;
   return salt + "/" + model.value + "." + std::to_string(version.value);
 }
 
 /// The cache domain of a request: the tenant's own if its cache is isolated, otherwise the
 /// shared one.
-inline Wall wallOf(const TenantId& tenant, bool isolated) {
-  return isolated ? Wall{tenant.value} : Wall{};
+inline CacheDomain cacheDomainOf(const TenantId& tenant, bool isolated) {
+  return isolated ? CacheDomain{tenant.value} : CacheDomain{};
 }
 
 }  // namespace peppergate
--- a/src/prompts/survey.cc
+++ b/src/prompts/survey.cc
@@ -6,20 +6,20 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kAllUpTo = 64;     // service size up to which all engines are candidates
-constexpr std::size_t kMostHolders = 8;  // otherwise, the number of engines that cache a block
-constexpr std::size_t kHomeWindow = 8;   // and the number of engines near the home position
-constexpr std::int64_t kTinyPart = 128;  // blocks with fewer tokens have no home
-constexpr Duration kStartsWithin = seconds(1);  // within which a sent request has started, and
-constexpr double kQueueMargin = 2;              // a safety factor on the delay by its queue
-
-constexpr double kKeptForUrgent = 1.0 / 16;  // of the slots, denied to the least urgent requests
+constexpr std::size_t kConsiderAllUpTo = 64;  // service size up to which all engines are candidates
+constexpr std::size_t kMaxHolders = 8;        // otherwise, the number of engines that cache a block
+constexpr std::size_t kHomeWindow = 8;        // and the number of engines near the home position
+constexpr std::int64_t kMinHomeBlockTokens = 128;  // blocks with fewer tokens have no home
+constexpr Duration kStartDelay = seconds(1);       // within which a sent request has started, and
+constexpr double kQueueSafetyFactor = 2;           // a safety factor on the delay by its queue
+
+constexpr double kUrgentReserve = 1.0 / 16;  // of the slots, denied to the least urgent requests
 constexpr int kLeastUrgent = 9;
 
 /// The share of an engine's slots that a request of this urgency may use. The last slots are
 /// reserved for more urgent requests, so that these are never rejected more often.
-double slotShareOf(int urgency) {
-  return 1 - kKeptForUrgent * std::clamp(urgency, 0, kLeastUrgent) / kLeastUrgent;
+double slotShareFor(int urgency) {
+  return 1 - kUrgentReserve * std::clamp(urgency, 0, kLeastUrgent) / kLeastUrgent;
 }
 
 std::uint64_t hashOf(std::string_view text, std::uint64_t seed) {
@@ -27,229 +27,244 @@
   for (char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211ULL;
   return hash;
 }
-std::uint64_t mixed(std::uint64_t value) { return Random(value).next(); }
+std::uint64_t mixBits(std::uint64_t value) { return Random(value).next(); }
 
 }  // namespace
 
-double slotsOf(const EngineState& engine) {
-  bool told = engine.told && engine.told->slots > 0;
-  return static_cast<double>(told ? engine.told->slots
-                                  : std::max<std::int64_t>(1, engine.listed.slots));
+double slotCount(const EngineState& engine) {
+  bool hasReport = engine.reportedLoad && engine.reportedLoad->slots > 0;
+  return static_cast<double>(hasReport ? engine.reportedLoad->slots
+                                       : std::max<std::int64_t>(1, engine.listed.slots));
 }
 
-const Placement::Service& Placement::service(const ServiceName& name) {
-  Service& service = services_[name];
-  const auto& engines = book_.of(name);
-  if (service.version == book_.version() && service.points.size() == engines.size()) return service;
-  service.version = book_.version();
-  service.points.clear();
-  service.byPoint.clear();
+const Placement::ServiceHashes& Placement::serviceHashes(const ServiceName& name) {
+  ServiceHashes& service = serviceHashes_[name];
+  const auto& engines = registry_.enginesOf(name);
+  if (service.version == registry_.version() && service.hashes.size() == engines.size())
+    return service;
+  service.version = registry_.version();
+  service.hashes.clear();
+  service.byHash.clear();
   for (const EngineState* engine : engines) {
-    service.byPoint.push_back(static_cast<std::uint32_t>(service.points.size()));
-    service.points.push_back(mixed(hashOf(engine->listed.id.value, 0)));
+    service.byHash.push_back(static_cast<std::uint32_t>(service.hashes.size()));
+    service.hashes.push_back(mixBits(hashOf(engine->listed.id.value, 0)));
   }
-  std::ranges::sort(service.byPoint, {},
-                    [&](std::uint32_t place) { return service.points[place]; });
+  std::ranges::sort(service.byHash, {}, [&](std::uint32_t index) { return service.hashes[index]; });
   return service;
 }
 
 bool Placement::sourceUsable(const EngineId& source, MonotonicTime now) const {
   if (source == storeId()) return store_.has_value();
-  const EngineState* engine = std::as_const(book_).find(source);
-  return engine != nullptr && !engine->loading && engine->restUntil <= now;
+  const EngineState* engine = std::as_const(registry_).find(source);
+  return engine != nullptr && !engine->loading && engine->ejectedUntil <= now;
 }
 
 std::optional<Address> Placement::addressOf(const EngineId& source) const {
   if (source == storeId()) return store_ ? std::optional(store_->address) : std::nullopt;
-  const EngineState* engine = std::as_const(book_).find(source);
+  const EngineState* engine = std::as_const(registry_).find(source);
   return engine ? std::optional(engine->listed.address) : std::nullopt;
 }
 
 Zone Placement::zoneOf(const EngineId& source) const {
   if (source == storeId()) return store_ ? store_->zone : Zone{};
-  const EngineState* engine = std::as_const(book_).find(source);
+  const EngineState* engine = std::as_const(registry_).find(source);
   return engine ? engine->listed.zone : Zone{};
 }
 
-Placement::Prompt& Placement::promptOf(Survey& survey, WeightsVersion version) {
-  auto found = std::ranges::find(survey.prompts, version, &Prompt::version);
-  if (found != survey.prompts.end()) return *found;
-  Prompt& prompt = survey.prompts.emplace_back();
+Placement::VersionedPrompt& Placement::promptFor(CandidateSearch& search, WeightsVersion version) {
+  auto found = std::ranges::find(search.prompts, version, &VersionedPrompt::version);
+  if (found != search.prompts.end()) return *found;
+  VersionedPrompt& prompt = search.prompts.emplace_back();
   prompt.version = version;
-  prompt.salt = saltOf(survey.wall, survey.ask.model, version);
-  prompt.holdings = index_.holdings(prompt.salt, survey.ask.parts);
-  for (const auto& holding : prompt.holdings) {
-    if (holding.tokens < prompt.reach || !sourceUsable(holding.engine, survey.now)) continue;
-    if (holding.tokens > prompt.reach) prompt.sources.clear();
-    prompt.reach = holding.tokens;
-    prompt.sources.push_back(holding.engine);
+  prompt.salt = cacheSalt(search.cacheDomain, search.placementRequest.model, version);
+  prompt.cachedPrefixes = index_.cachedPrefixes(prompt.salt, search.placementRequest.promptBlocks);
+  for (const auto& prefix : prompt.cachedPrefixes) {
+    if (prefix.tokens < prompt.longestPrefix || !sourceUsable(prefix.engine, search.now)) continue;
+    if (prefix.tokens > prompt.longestPrefix) prompt.sources.clear();
+    prompt.longestPrefix = prefix.tokens;
+    prompt.sources.push_back(prefix.engine);
   }
   return prompt;
 }
 
-bool Placement::mayServe(const Survey& survey, WeightsVersion version,
-                         Duration beginsWithin) const {
-  if (version >= survey.named || !options_.guards(Guard::kOldWeights)) return true;
-  MonotonicTime since = namings_.outdatedSince(survey.ask.model, version);
+bool Placement::mayServe(const CandidateSearch& search, WeightsVersion version,
+                         Duration startsWithin) const {
+  if (version >= search.targetVersion || !options_.isGuardEnabled(SafetyGuard::kOldWeights))
+    return true;
+  MonotonicTime since = targetHistory_.outdatedSince(search.placementRequest.model, version);
   if (since == kForever) return false;  // there is a newer target, set at an unknown time
-  return survey.now - since < options_.weightsWithin - beginsWithin;
+  return search.now - since < options_.weightsWithin - startsWithin;
 }
 
-void Placement::consider(Survey& survey, std::size_t place) {
-  const EngineState& engine = *survey.engines[place];
-  const auto& tried = survey.ask.tried;
-  if (!book_.usable(engine, survey.now) ||
+void Placement::considerEngine(CandidateSearch& search, std::size_t engineIndex) {
+  const EngineState& engine = *search.engines[engineIndex];
+  const auto& tried = search.placementRequest.triedEngines;
+  if (!registry_.usable(engine, search.now) ||
       std::ranges::find(tried, engine.listed.id) != tried.end() ||
-      std::ranges::find(survey.choices, place, &Choice::place) != survey.choices.end())
+      std::ranges::find(search.candidates, engineIndex, &Candidate::engineIndex) !=
+          search.candidates.end())
     return;
-  Choice choice;
-  if (survey.shape) {
-    auto model = engine.models.find(survey.ask.model);
+  Candidate candidate;
+  if (search.shape) {
+    auto model = engine.models.find(search.placementRequest.model);
     auto version = model == engine.models.end() ? WeightsVersion{1} : model->second;
-    if (!mayServe(survey, version, kStartsWithin)) return;
-    choice.prompt = static_cast<std::size_t>(&promptOf(survey, version) - survey.prompts.data());
-    choice.numbers.olderWeights = version < survey.named;
+    if (!mayServe(search, version, kStartDelay)) return;
+    candidate.promptIndex =
+        static_cast<std::size_t>(&promptFor(search, version) - search.prompts.data());
+    candidate.inputs.olderWeights = version < search.targetVersion;
   }
-  ++survey.usable;
-  CandidateNumbers& is = choice.numbers;
-  is.running = book_.running(engine, survey.now);
-  is.slots = slotsOf(engine);
-  if (is.running >= is.slots * slotShareOf(survey.ask.urgency)) {
-    double waiting = engine.told ? static_cast<double>(engine.told->waiting) : 0;
-    survey.forecastMs = std::min(survey.forecastMs, roomForecastMs(is.running, is.slots, waiting));
+  ++search.usableCount;
+  CandidateInputs& inputs = candidate.inputs;
+  inputs.running = registry_.runningRequests(engine, search.now);
+  inputs.slots = slotCount(engine);
+  if (inputs.running >= inputs.slots * slotShareFor(search.placementRequest.urgency)) {
+    double waiting = engine.reportedLoad ? static_cast<double>(engine.reportedLoad->waiting) : 0;
+    search.retryMs =
+        std::min(search.retryMs, freeSlotForecastMs(inputs.running, inputs.slots, waiting));
     return;
   }
-  is.queueTokens = book_.queueTokens(engine, survey.now);
-  is.speed = speed_.of(engine.listed.id, survey.ask.service);
-  if (is.olderWeights) {  // it starts after the queued prefill
-    Duration queue = seconds(is.queueTokens / is.speed / 1000);
-    WeightsVersion version = survey.prompts[choice.prompt].version;
-    if (!mayServe(survey, version, kStartsWithin + queue * kQueueMargin)) return;
+  inputs.queuedTokens = registry_.queuedPrefillTokens(engine, search.now);
+  inputs.prefillSpeed =
+      prefillSpeed_.tokensPerMs(engine.listed.id, search.placementRequest.service);
+  if (inputs.olderWeights) {  // it starts after the queued prefill
+    Duration queue = seconds(inputs.queuedTokens / inputs.prefillSpeed / 1000);
+    WeightsVersion version = search.prompts[candidate.promptIndex].version;
+    if (!mayServe(search, version, kStartDelay + queue * kQueueSafetyFactor)) return;
   }
-  is.otherZone = !zone_.value.empty() && engine.listed.zone != zone_;
-  choice.engine = &engine;
-  choice.place = place;
-  survey.choices.push_back(std::move(choice));
+  inputs.otherZone = !zone_.value.empty() && engine.listed.zone != zone_;
+  candidate.engine = &engine;
+  candidate.engineIndex = engineIndex;
+  search.candidates.push_back(std::move(candidate));
 }
 
-void Placement::surveyAll(Survey& survey) {
-  for (std::size_t place = 0; place < survey.engines.size(); ++place) consider(survey, place);
+void Placement::considerAll(CandidateSearch& search) {
+  for (std::size_t engineIndex = 0; engineIndex < search.engines.size(); ++engineIndex)
+    considerEngine(search, engineIndex);
 }
 
-void Placement::surveySome(Survey& survey) {
+void Placement::considerSample(CandidateSearch& search) {
   // Large services: the engines that cache the most, those near the home, and some random ones.
-  if (survey.shape) {
-    Prompt& prompt = promptOf(survey, survey.named);
-    auto holdings = prompt.holdings;
-    std::size_t most = std::min(holdings.size(), kMostHolders);
-    std::ranges::partial_sort(holdings, holdings.begin() + static_cast<std::ptrdiff_t>(most),
-                              std::greater{}, &Holding::tokens);
-    for (std::size_t index = 0; index < most; ++index) {
-      auto found = std::ranges::lower_bound(survey.engines, holdings[index].engine, {},
+  if (search.shape) {
+    VersionedPrompt& prompt = promptFor(search, search.targetVersion);
+    auto prefixes = prompt.cachedPrefixes;
+    std::size_t holderCount = std::min(prefixes.size(), kMaxHolders);
+    std::ranges::partial_sort(prefixes, prefixes.begin() + static_cast<std::ptrdiff_t>(holderCount),
+                              std::greater{}, &CachedPrefix::tokens);
+    for (std::size_t index = 0; index < holderCount; ++index) {
+      auto found = std::ranges::lower_bound(search.engines, prefixes[index].engine, {},
                                             [](const EngineState* one) { return one->listed.id; });
-      if (found != survey.engines.end() && (*found)->listed.id == holdings[index].engine)
-        consider(survey, static_cast<std::size_t>(found - survey.engines.begin()));
+      if (found != search.engines.end() && (*found)->listed.id == prefixes[index].engine)
+        considerEngine(search, static_cast<std::size_t>(found - search.engines.begin()));
     }
   }
-  for (auto& choice : survey.choices) choice.near = false;
-  const auto& order = survey.service.byPoint;
-  std::uint64_t key = homeKey(survey);
+  for (auto& candidate : search.candidates) candidate.nearHome = false;
+  const auto& order = search.service.byHash;
+  std::uint64_t key = homeKey(search);
   auto near = std::ranges::lower_bound(
-      order, mixed(key), {}, [&](std::uint32_t place) { return survey.service.points[place]; });
+      order, mixBits(key), {}, [&](std::uint32_t index) { return search.service.hashes[index]; });
   std::size_t start = static_cast<std::size_t>(near - order.begin());
   for (std::size_t step = 0; key != 0 && step < kHomeWindow; ++step) {
-    std::size_t place = order[(start + step) % order.size()];
-    consider(survey, place);
-    auto choice = std::ranges::find(survey.choices, place, &Choice::place);
-    if (choice != survey.choices.end()) choice->near = true;
+    std::size_t engineIndex = order[(start + step) % order.size()];
+    considerEngine(search, engineIndex);
+    auto candidate = std::ranges::find(search.candidates, engineIndex, &Candidate::engineIndex);
+    if (candidate != search.candidates.end()) candidate->nearHome = true;
   }
-  std::size_t found = survey.choices.size();
-  for (std::size_t tries = 0; tries < 32 && survey.choices.size() < found + 8; ++tries)
-    consider(survey, random_.below(survey.engines.size()));
-  for (; found < survey.choices.size(); ++found) survey.choices[found].near = false;
+  std::size_t found = search.candidates.size();
+  for (std::size_t tries = 0; tries < 32 && search.candidates.size() < found + 8; ++tries)
+    considerEngine(search, random_.below(search.engines.size()));
+  for (; found < search.candidates.size(); ++found) search.candidates[found].nearHome = false;
 }
 
-void Placement::survey(Survey& survey) {
-  if (survey.engines.size() <= kAllUpTo) surveyAll(survey);
-  else surveySome(survey);
+void Placement::findCandidates(CandidateSearch& search) {
+  if (search.engines.size() <= kConsiderAllUpTo) considerAll(search);
+  else considerSample(search);
 }
 
-std::uint64_t Placement::homeKey(const Survey& survey) const {
+std::uint64_t Placement::homeKey(const CandidateSearch& search) const {
   // The largest shared block best characterizes what a prompt has in common with others. A block
   // that most engines cache needs no home. The key doesn't contain the weights version, so a home
   // stays the same across versions.
-  if (!survey.shape || survey.ask.parts.size() < 2) return 0;
-  std::string salt = saltOf(survey.wall, survey.ask.model, survey.named);
-  const PartSize* chosen = nullptr;
-  for (const auto& part : survey.ask.parts.first(survey.ask.parts.size() - 1)) {
-    if (part.tokens < kTinyPart || (chosen && part.tokens <= chosen->tokens)) continue;
-    if (index_.holderCount(salt, part.id) * 2 > survey.engines.size() + 1) continue;
+  if (!search.shape || search.placementRequest.promptBlocks.size() < 2) return 0;
+  std::string salt =
+      cacheSalt(search.cacheDomain, search.placementRequest.model, search.targetVersion);
+  const PromptBlock* chosen = nullptr;
+  for (const auto& part : search.placementRequest.promptBlocks.first(
+           search.placementRequest.promptBlocks.size() - 1)) {
+    if (part.tokens < kMinHomeBlockTokens || (chosen && part.tokens <= chosen->tokens)) continue;
+    if (index_.engineCount(salt, part.id) * 2 > search.engines.size() + 1) continue;
     chosen = &part;
   }
   if (!chosen) return 0;
-  return hashOf(chosen->id, hashOf(survey.wall.value, hashOf(survey.ask.model.value, 0))) | 1;
-}
-
-void Placement::rate(Survey& survey, bool mayCollect) {
-  std::uint64_t key = homeKey(survey);
-  std::size_t home = survey.choices.size(), second = home;
-  std::uint64_t most = 0, next = 0;
-  for (std::size_t index = 0; key != 0 && index < survey.choices.size(); ++index) {
-    if (!survey.choices[index].near) continue;
-    std::uint64_t rank = mixed(key ^ survey.service.points[survey.choices[index].place]);
-    if (rank > most) {
-      second = home, next = most;
-      home = index, most = rank;
-    } else if (rank > next) {
-      second = index, next = rank;
+  return hashOf(chosen->id,
+                hashOf(search.cacheDomain.value, hashOf(search.placementRequest.model.value, 0))) |
+         1;
+}
+
+void Placement::rateCandidates(CandidateSearch& search, bool mayFetch) {
+  std::uint64_t key = homeKey(search);
+  std::size_t home = search.candidates.size(), runnerUp = home;
+  std::uint64_t bestRank = 0, runnerUpRank = 0;
+  for (std::size_t index = 0; key != 0 && index < search.candidates.size(); ++index) {
+    if (!search.candidates[index].nearHome) continue;
+    std::uint64_t rank = mixBits(key ^ search.service.hashes[search.candidates[index].engineIndex]);
+    if (rank > bestRank) {
+      runnerUp = home, runnerUpRank = bestRank;
+      home = index, bestRank = rank;
+    } else if (rank > runnerUpRank) {
+      runnerUp = index, runnerUpRank = rank;
     }
   }
   CostWeights weights;
-  if (survey.ask.route && survey.ask.route->target > Duration{})
-    weights.targetMs = inSeconds(survey.ask.route->target) * 1000;
-  for (std::size_t index = 0; index < survey.choices.size(); ++index) {
-    Choice& choice = survey.choices[index];
-    CandidateNumbers& is = choice.numbers;
-    if (key != 0) is.away = index == home ? 0 : index == second ? 0.5 : 1;
-    if (survey.shape) priceParts(survey, choice, mayCollect);
-    choice.cost = costOf(is, weights);
+  if (search.placementRequest.route && search.placementRequest.route->responseTarget > Duration{})
+    weights.targetMs = inSeconds(search.placementRequest.route->responseTarget) * 1000;
+  for (std::size_t index = 0; index < search.candidates.size(); ++index) {
+    Candidate& candidate = search.candidates[index];
+    CandidateInputs& inputs = candidate.inputs;
+    if (key != 0) inputs.homeDistance = index == home ? 0 : index == runnerUp ? 0.5 : 1;
+    if (search.shape) estimateBlockCosts(search, candidate, mayFetch);
+    candidate.cost = costOf(inputs, weights);
     // Engines without a cache differ in speed too; ties are broken randomly.
-    if (!survey.shape)
-      choice.cost.total += choice.engine->firstEventMs * (1 + is.running / is.slots);
-    choice.cost.total += random_.fraction() * 2;
+    if (!search.shape)
+      candidate.cost.total += candidate.engine->firstEventMs * (1 + inputs.running / inputs.slots);
+    candidate.cost.total += random_.fraction() * 2;
   }
 }
 
-void Placement::priceParts(Survey& survey, Choice& choice, bool mayCollect) {
-  const Prompt& prompt = survey.prompts[choice.prompt];
-  const EngineShape& shape = *survey.shape;
-  CandidateNumbers& is = choice.numbers;
-  auto holding = std::ranges::find(prompt.holdings, choice.engine->listed.id, &Holding::engine);
-  choice.kept = holding == prompt.holdings.end() ? 0 : std::min(holding->tokens, survey.tokens);
-  is.prompt = static_cast<double>(survey.tokens);
-  is.shared = static_cast<double>(survey.shared);
-  is.kept = static_cast<double>(choice.kept);
-  is.reach = static_cast<double>(std::min(prompt.reach, survey.tokens));
-  is.answerOut = static_cast<double>(survey.ask.tokensOut);
-  is.room = static_cast<double>(shape.kvTokens);
-  is.used = is.running * static_cast<double>(survey.tokens - survey.shared + survey.ask.tokensOut);
-  is.tokenMegabytes = static_cast<double>(shape.kvTokenBytes) / 1e6;
-  is.linkMegabytes = megabytesOf(shape.linkMbps);
-  is.collects = false;
-  if (!mayCollect || prompt.sources.empty() || is.reach <= is.kept) return;
+void Placement::estimateBlockCosts(CandidateSearch& search, Candidate& candidate, bool mayFetch) {
+  const VersionedPrompt& prompt = search.prompts[candidate.promptIndex];
+  const EngineConfig& shape = *search.shape;
+  CandidateInputs& inputs = candidate.inputs;
+  auto prefix =
+      std::ranges::find(prompt.cachedPrefixes, candidate.engine->listed.id, &CachedPrefix::engine);
+  candidate.cachedTokens =
+      prefix == prompt.cachedPrefixes.end() ? 0 : std::min(prefix->tokens, search.promptTokens);
+  inputs.promptTokens = static_cast<double>(search.promptTokens);
+  inputs.sharedTokens = static_cast<double>(search.sharedTokens);
+  inputs.cachedTokens = static_cast<double>(candidate.cachedTokens);
+  inputs.sourceTokens = static_cast<double>(std::min(prompt.longestPrefix, search.promptTokens));
+  inputs.outputTokens = static_cast<double>(search.placementRequest.outputTokens);
+  inputs.capacityTokens = static_cast<double>(shape.kvTokens);
+  inputs.usedTokens =
+      inputs.running * static_cast<double>(search.promptTokens - search.sharedTokens +
+                                           search.placementRequest.outputTokens);
+  inputs.megabytesPerToken = static_cast<double>(shape.kvTokenBytes) / 1e6;
+  inputs.linkMegabytesPerSecond = megabytesFromMegabits(shape.linkMbps);
+  inputs.mayFetch = false;
+  if (!mayFetch || prompt.sources.empty() || inputs.sourceTokens <= inputs.cachedTokens) return;
   // Assumes the nearest of the best sources; the final choice depends on the links' free capacity.
-  is.collects = true;
-  is.crossing = 10;
-  double wait = 1e9;
-  std::size_t looked = std::min(prompt.sources.size(), kMostHolders);
-  for (const auto& source : std::span(prompt.sources).first(looked)) {
-    int crossing = fetches_.crossing(zoneOf(source), choice.engine->listed.zone);
-    is.crossing = std::min(is.crossing, crossing);
-    wait = std::min(wait, fetches_.waitAt(source));
-    if (looked == 1 && source == storeId() && store_ && store_->linkMbps > 0)
-      is.linkMegabytes = std::min(is.linkMegabytes, megabytesOf(store_->linkMbps));
+  inputs.mayFetch = true;
+  inputs.distanceFactor = 10;
+  double waitMs = 1e9;
+  std::size_t sourceCount = std::min(prompt.sources.size(), kMaxHolders);
+  for (const auto& source : std::span(prompt.sources).first(sourceCount)) {
+    int distanceFactor = fetches_.transferWeight(zoneOf(source), candidate.engine->listed.zone);
+    inputs.distanceFactor = std::min(inputs.distanceFactor, distanceFactor);
+    waitMs = std::min(waitMs, fetches_.waitSeconds(source));
+    if (sourceCount == 1 && source == storeId() && store_ && store_->linkMbps > 0)
+      inputs.linkMegabytesPerSecond =
+          std::min(inputs.linkMegabytesPerSecond, megabytesFromMegabits(store_->linkMbps));
   }
-  is.linkWait = 1000 * std::max(wait, fetches_.waitAt(choice.engine->listed.id));
+  inputs.linkWaitMs = 1000 * std::max(waitMs, fetches_.waitSeconds(candidate.engine->listed.id));
 }
 
 }  // namespace peppergate
--- a/src/prompts/survey.h
+++ b/src/prompts/survey.h
@@ -12,42 +12,43 @@
 namespace peppergate {
 
 /// The cached prefixes of a prompt under one weights version.
-struct Placement::Prompt {
+struct Placement::VersionedPrompt {
   WeightsVersion version;
   std::string salt;
-  std::vector<Holding> holdings;
-  std::int64_t reach = 0;         // longest prefix cached by a usable source
-  std::vector<EngineId> sources;  // the sources that cache that prefix
+  std::vector<CachedPrefix> cachedPrefixes;
+  std::int64_t longestPrefix = 0;  // longest prefix cached by a usable source
+  std::vector<EngineId> sources;   // the sources that cache that prefix
 };
 
 /// A candidate engine.
-struct Placement::Choice {
+struct Placement::Candidate {
   const EngineState* engine = nullptr;
-  std::size_t place = 0;   // index in the registry's order
-  std::size_t prompt = 0;  // index into the survey's prompts
-  std::int64_t kept = 0;
-  bool near = true;  // eligible as the home engine
-  CandidateNumbers numbers;
+  std::size_t engineIndex = 0;  // index in the registry's order
+  std::size_t promptIndex = 0;  // index into the survey's prompts
+  std::int64_t cachedTokens = 0;
+  bool nearHome = true;  // eligible as the home engine
+  CandidateInputs inputs;
   CandidateCost cost;
 };
 
-struct Placement::Survey {
-  const PlacementAsk& ask;
+struct Placement::CandidateSearch {
+  const PlacementRequest& placementRequest;
   const FleetConfig& config;
   MonotonicTime now;
-  const EngineShape* shape = nullptr;  // null: its engines cache no blocks
+  const EngineConfig* shape = nullptr;  // null: its engines cache no blocks
   const std::vector<EngineState*>& engines;
-  const Service& service;
-  WeightsVersion named{1};
-  Wall wall{};
-  std::int64_t tokens = 0, shared = 0;  // tokens of the prompt, and of its shared blocks
-  std::vector<Prompt> prompts{};        // one per weights version that engines run
-  std::vector<Choice> choices{};
-  std::size_t usable = 0;   // number of usable engines, including full ones
-  double forecastMs = 500;  // until one of the full engines has a free slot
+  const ServiceHashes& service;
+  WeightsVersion targetVersion{1};
+  CacheDomain cacheDomain{};
+  std::int64_t promptTokens = 0,
+               sharedTokens = 0;           // tokens of the prompt, and of its shared blocks
+  std::vector<VersionedPrompt> prompts{};  // one per weights version that engines run
+  std::vector<Candidate> candidates{};
+  std::size_t usableCount = 0;  // number of usable engines, including full ones
+  double retryMs = 500;         // until one of the full engines has a free slot
 };
 
 /// The number of requests that the engine runs at once.
-double slotsOf(const EngineState& engine);
+double slotCount(const EngineState& engine);
 
 }  // namespace peppergate
--- a/src/requests/answer_times.cc
+++ b/src/requests/answer_times.cc
@@ -3,13 +3,13 @@
 namespace peppergate {
 namespace {
 
-std::string_view nameOf(AnswerTiming timing) {
+std::string_view nameOf(ResponseTiming timing) {
   switch (timing) {
-    case AnswerTiming::kInTime:
+    case ResponseTiming::kInTime:
       return "in_time";
-    case AnswerTiming::kLateFirst:
+    case ResponseTiming::kLateFirst:
       return "late_first";
-    case AnswerTiming::kLatePause:
+    case ResponseTiming::kLatePause:
       return "late_pause";
   }
   return "in_time";
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::string answerCounter(AnswerTiming timing, int urgency) {
+std::string responseCounter(ResponseTiming timing, int urgency) {
   return "answers." + std::to_string(urgency) + "." + std::string(nameOf(timing));
 }
 
--- a/src/requests/attempt_budget.h
+++ b/src/requests/attempt_budget.h
@@ -30,16 +30,16 @@
 class AttemptBudget {
  public:
   /// Counts a request's first attempt.
-  void first(const BudgetTerms& terms, MonotonicTime now) {
-    forget(terms, now);
-    firsts_.add(bucketOf(now));
+  void recordFirstAttempt(const BudgetTerms& terms, MonotonicTime now) {
+    expire(terms, now);
+    firstAttempts_.add(bucketOf(now));
   }
   /// Whether the budget allows one retry now.
-  bool allows(const BudgetTerms& terms, MonotonicTime now);
+  bool allowsRetry(const BudgetTerms& terms, MonotonicTime now);
   /// Counts a retry.
-  void take(MonotonicTime now) { furthers_.add(bucketOf(now)); }
+  void recordRetry(MonotonicTime now) { retries_.add(bucketOf(now)); }
   /// Takes back a retry that was counted at this time and never reached an engine.
-  void giveBack(MonotonicTime taken) { furthers_.remove(bucketOf(taken)); }
+  void refundRetry(MonotonicTime recordedAt) { retries_.remove(bucketOf(recordedAt)); }
 
  private:
   struct Bucket {
@@ -50,29 +50,31 @@
     std::int64_t sum = 0;
     void add(std::int64_t number);
     void remove(std::int64_t number);
-    void forget(std::int64_t before);
+    void expire(std::int64_t before);
   };
-  void forget(const BudgetTerms& terms, MonotonicTime now);
+  void expire(const BudgetTerms& terms, MonotonicTime now);
   static std::int64_t bucketOf(MonotonicTime time);
-  Counts firsts_, furthers_;
+  Counts firstAttempts_, retries_;
 };
 
 /// The largest number of routers seen within the last one to two minutes.
-class FrontCount {
+class RouterCount {
  public:
-  void see(std::size_t fronts, MonotonicTime now);
-  std::size_t most() const { return std::max<std::size_t>({1, former_, current_}); }
+  void record(std::size_t routers, MonotonicTime now);
+  std::size_t largest() const {
+    return std::max<std::size_t>({1, previousPeriodMax_, currentPeriodMax_});
+  }
 
  private:
-  std::size_t former_ = 0, current_ = 0;
-  MonotonicTime since_ = kNever;
+  std::size_t previousPeriodMax_ = 0, currentPeriodMax_ = 0;
+  MonotonicTime periodStart_ = kNever;
 };
 
 /// A router's share of the slack, in attempts. Half of the slack is reserved for routers that don't
 /// know of each other yet.
-inline std::int64_t slackPart(double slack, std::size_t fronts) {
-  double shared = static_cast<double>(std::max<std::size_t>(1, fronts));
-  return static_cast<std::int64_t>(0.5 * slack / shared);
+inline std::int64_t slackShare(double slack, std::size_t routers) {
+  double sharers = static_cast<double>(std::max<std::size_t>(1, routers));
+  return static_cast<std::int64_t>(0.5 * slack / sharers);
 }
 
 }  // namespace peppergate
--- a/src/requests/core_lives.h
+++ b/src/requests/core_lives.h
@@ -10,22 +10,22 @@
 
 /// Detects restarts by member id: each process at a control node's address has a member id of its
 /// own. A restart counts as control plane trouble whether or not the node was the leader.
-class CoreLives {
+class ControlRestartDetector {
  public:
   /// Takes the control nodes that are alive now. Returns whether one that was seen before has
   /// restarted.
-  bool restarted(const std::vector<MemberRecord>& cores) {
+  bool detectRestart(const std::vector<MemberRecord>& controlNodes) {
     bool found = false;
-    for (const auto& core : cores) {
-      auto& lives = seen_[core.address];
-      bool fresh = lives.insert(core.member).second;
-      found = found || (fresh && lives.size() > 1);
+    for (const auto& node : controlNodes) {
+      auto& memberIds = memberIdsByAddress_[node.address];
+      bool isNew = memberIds.insert(node.member).second;
+      found = found || (isNew && memberIds.size() > 1);
     }
     return found;
   }
 
  private:
-  std::map<Address, std::set<MemberId>> seen_;
+  std::map<Address, std::set<MemberId>> memberIdsByAddress_;
 };
 
 }  // namespace peppergate
--- a/src/requests/events.h
+++ b/src/requests/events.h
@@ -26,11 +26,11 @@
   int status = 0;
   std::string reason;
   std::vector<std::pair<std::string, std::string>> headers;
-  std::optional<std::size_t> length;  // of the body, if the head gives it
+  std::optional<std::size_t> bodyLength;  // of the body, if the head gives it
 };
 
 /// One prefix block of a prompt; a prompt's blocks are listed in order.
-struct PartSize {
+struct PromptBlock {
   std::string id;
   std::int64_t tokens = 0;
 };
@@ -39,38 +39,38 @@
 /// A complete client request was read.
 struct RequestArrived {
   RequestId request;
-  std::string clientId;                      // the client's id of this request; engines echo it
-  std::string host;                          // as sent
-  std::string path;                          // without the query
-  std::string key;                           // empty if none was sent
-  std::optional<Duration> timeLeft;          // how long the client waits
-  std::optional<std::uint64_t> resumeAfter;  // the client has all events up to it
+  std::string clientId;              // the client's id of this request; engines echo it
+  std::string host;                  // as sent
+  std::string path;                  // without the query
+  std::string key;                   // empty if none was sent
+  std::optional<Duration> timeLeft;  // how long the client waits
+  std::optional<std::uint64_t> resumeAfterEventId;  // the client has all events up to it
   ModelName model;
   std::int64_t tokensIn = 0, tokensOut = 0;
-  std::vector<PartSize> parts;
+  std::vector<PromptBlock> promptBlocks;
   std::shared_ptr<const WireRequest> wire;
 };
 /// The client disconnected before its response was complete.
-struct RequestGone {
+struct RequestCancelled {
   RequestId request;
 };
 /// Backpressure: the client reads more slowly than its response arrives, or catches up again.
-struct ClientSlow {
+struct RequestBackpressure {
   RequestId request;
   bool slow = false;
 };
 
-enum class AttemptTurn : std::uint8_t {
+enum class AttemptEventKind : std::uint8_t {
   kWritten,     // its first byte was written to a socket: it may run from now on
   kHead,        // the response head arrived
   kBody,        // part of the body arrived; of a stream, complete events only
-  kEnded,       // the response is complete by its own framing and has the right request id
+  kComplete,    // the response is complete by its own framing and has the right request id
   kBroken,      // the connection ended, or sent invalid data or another request's response
   kNotWritten,  // no byte was written: the connection failed, or writeBefore had passed
 };
-struct AttemptTurned {
+struct AttemptEvent {
   AttemptId attempt;
-  AttemptTurn turn = AttemptTurn::kBroken;
+  AttemptEventKind kind = AttemptEventKind::kBroken;
   // With kHead:
   std::shared_ptr<const WireHead> head;
   bool notRun = false;   // the engine states that it did not run the request
@@ -78,11 +78,11 @@
   std::optional<EngineLoad> load;
   std::map<ModelName, WeightsVersion> versions;  // model versions in the head, if any
   std::optional<Duration> retryAfter;
-  bool leaving = false;  // the engine closes the connection after this response
+  bool closesConnection = false;  // the engine closes the connection after this response
   // With kBody:
   std::string bytes;
-  std::optional<std::uint64_t> lastEvent;  // id of the last complete event in `bytes`
-  std::optional<std::uint64_t> firstEvent;
+  std::optional<std::uint64_t> lastEventId;  // id of the last complete event in `bytes`
+  std::optional<std::uint64_t> firstEventId;
   std::optional<WeightsVersion> newVersion;  // an event reported new weights
 };
 
@@ -97,11 +97,11 @@
   EngineId engine;  // any other engine at this address declines the request
   bool stream = false;
   Duration timeLeft;  // sent to the engine, which stops then
-  std::optional<std::uint64_t> resumeAfter;
+  std::optional<std::uint64_t> resumeAfterEventId;
   TenantId tenant;   // empty on an open route
   std::string salt;  // scopes the cached prefix blocks
   int urgency = 5;
-  std::optional<WeightsVersion> expect;  // engines with other weights decline the request
+  std::optional<WeightsVersion> expectedVersion;  // engines with other weights decline the request
   std::optional<Address> collectFrom, depositAt;
   Duration connectTimeout = seconds(0.5);
   MonotonicTime writeBefore = kForever;  // checked again at the write itself
@@ -115,21 +115,21 @@
 };
 /// Forwards the engine's response head to the client with all of its headers except hop-by-hop
 /// headers.
-struct AnswerHead {
+struct ForwardResponseHead {
   RequestId request;
   std::shared_ptr<const WireHead> head;
 };
-struct AnswerBody {
+struct ForwardResponseBody {
   RequestId request;
   std::string bytes;
 };
 /// Ends the response: complete, or truncated so that the client can't take it for complete.
-struct AnswerDone {
+struct FinishResponse {
   RequestId request;
-  bool whole = true;
+  bool complete = true;
 };
 /// Rejects the request with a response of the router's own.
-struct RefuseRequest {
+struct RejectRequest {
   RequestId request;
   int status = 503;
   std::string_view kind;               // human-readable; a constant
--- a/src/requests/fleet_facts.h
+++ b/src/requests/fleet_facts.h
@@ -8,9 +8,9 @@
 namespace peppergate {
 
 /// A read-only view of the fleet's control state and membership.
-class FleetFacts {
+class FleetStateView {
  public:
-  virtual ~FleetFacts() = default;
+  virtual ~FleetStateView() = default;
   /// The current configuration.
   virtual const FleetConfig& config() const = 0;
   /// The configured route of a request, and the tenant of an access key; null if there is none.
@@ -24,9 +24,9 @@
   /// after that.
   virtual MonotonicTime freshUntil(MonotonicTime now) const = 0;
   /// Incremented by each install, so that callers know when to drop what they cached.
-  virtual std::uint64_t changes() const = 0;
+  virtual std::uint64_t installCount() const = 0;
   /// The number of routers that share the retry budget, including this one.
-  virtual std::size_t liveFronts() const = 0;
+  virtual std::size_t liveRouters() const = 0;
 };
 
 }  // namespace peppergate
--- a/src/requests/follower_facts.h
+++ b/src/requests/follower_facts.h
@@ -7,11 +7,11 @@
 namespace peppergate {
 
 /// Reads the control state from the follower and the live routers from the membership.
-class FollowerFacts final : public FleetFacts {
+class FollowerStateView final : public FleetStateView {
  public:
-  FollowerFacts(const Options& options, const Follower& follower, const Membership& membership)
+  FollowerStateView(const Options& options, const Follower& follower, const Membership& membership)
       : options_(options), follower_(follower), membership_(membership) {}
-  const FleetConfig& config() const override { return follower_.setup().fleet; }
+  const FleetConfig& config() const override { return follower_.setup().fleetConfig; }
   const Route* route(std::string_view host, std::string_view path) const override {
     return config().route(host, path);
   }
@@ -19,14 +19,16 @@
     return config().tenantOfKey(key);
   }
   const Weights& weights() const override { return follower_.weights(); }
-  bool installed() const override { return follower_.installed() && config().version.value != 0; }
+  bool installed() const override {
+    return follower_.hasConfiguration() && config().version.value != 0;
+  }
   MonotonicTime freshUntil(MonotonicTime now) const override {
-    if (!options_.guards(Guard::kFreshness)) return kForever;
-    if (!follower_.fresh(now)) return now;
+    if (!options_.isGuardEnabled(SafetyGuard::kFreshness)) return kForever;
+    if (!follower_.isFresh(now)) return now;
     return now + (options_.proofLimit - follower_.proofAge(now));
   }
-  std::uint64_t changes() const override { return follower_.changesSeen(); }
-  std::size_t liveFronts() const override { return membership_.liveFronts().size(); }
+  std::uint64_t installCount() const override { return follower_.changeCount(); }
+  std::size_t liveRouters() const override { return membership_.liveRouters().size(); }
 
  private:
   const Options& options_;
--- a/src/requests/placer.h
+++ b/src/requests/placer.h
@@ -12,51 +12,54 @@
 
 namespace peppergate {
 
-struct PlacementAsk;                   // prompts/placement.h
-struct Placed;                         // prompts/placement.h
-struct PlaceRefusal;                   // prompts/placement.h
-struct Weights;                        // core/control_state.h
-enum class AttemptEnd : std::uint8_t;  // engines/engine_book.h
+struct PlacementRequest;                   // prompts/placement.h
+struct PlacementDecision;                  // prompts/placement.h
+struct PlacementRejection;                 // prompts/placement.h
+struct Weights;                            // core/control_state.h
+enum class AttemptOutcome : std::uint8_t;  // engines/engine_book.h
 
 /// Chooses the engine of each attempt.
 class Placer {
  public:
   virtual ~Placer() = default;
   /// Returns the engine for one attempt, or why there is none.
-  virtual std::variant<Placed, PlaceRefusal> place(const PlacementAsk& ask,
-                                                   const FleetConfig& config,
-                                                   const Weights& weights, MonotonicTime now,
-                                                   Outbox& outbox) = 0;
+  virtual std::variant<PlacementDecision, PlacementRejection> place(const PlacementRequest& ask,
+                                                                    const FleetConfig& config,
+                                                                    const Weights& weights,
+                                                                    MonotonicTime now,
+                                                                    Outbox& outbox) = 0;
   /// Called when the first event of an attempt arrives, with the time since the attempt was sent.
-  virtual void firstEvent(RequestId request, Duration took, MonotonicTime now, Outbox& outbox) = 0;
+  virtual void recordFirstEvent(RequestId request, Duration elapsed, MonotonicTime now,
+                                Outbox& outbox) = 0;
   /// Called when an attempt ends without a first event.
-  virtual void dropped(RequestId request) = 0;
+  virtual void endedWithoutEvent(RequestId request) = 0;
 };
 
 /// Records load, latency and failures of engines as seen in this router's traffic.
-class EngineLedger {
+class EngineTrafficRecorder {
  public:
-  virtual ~EngineLedger() = default;
+  virtual ~EngineTrafficRecorder() = default;
   /// Called before an attempt is sent, with the number of tokens to prefill.
-  virtual void sent(const EngineId& engine, std::int64_t prefillTokens) = 0;
+  virtual void recordAttemptSent(const EngineId& engine, std::int64_t prefillTokens) = 0;
   /// Called when the first event of an attempt (or its head, without a stream) arrives.
-  virtual void firstEvent(const EngineId& engine, std::int64_t prefillTokens, Duration took) = 0;
+  virtual void recordFirstEvent(const EngineId& engine, std::int64_t prefillTokens,
+                                Duration elapsed) = 0;
   /// Called when an attempt ends. `hadFirst`: its first event had arrived.
-  virtual void ended(const EngineId& engine, AttemptEnd how, std::int64_t prefillTokens,
-                     bool hadFirst, MonotonicTime now) = 0;
+  virtual void recordAttemptEnded(const EngineId& engine, AttemptOutcome outcome,
+                                  std::int64_t prefillTokens, bool hadFirst, MonotonicTime now) = 0;
   /// Called when an engine reports its load, or the version of a model's weights.
-  virtual void told(const EngineId& engine, const EngineLoad& load, MonotonicTime now) = 0;
-  virtual void toldVersion(const EngineId& engine, const ModelName& model,
-                           WeightsVersion version) = 0;
+  virtual void recordLoad(const EngineId& engine, const EngineLoad& load, MonotonicTime now) = 0;
+  virtual void recordVersion(const EngineId& engine, const ModelName& model,
+                             WeightsVersion version) = 0;
 };
 
 /// Records the prefix blocks that an engine should have cached after it has read a prompt.
-class KeptParts {
+class PrefixBlockRecorder {
  public:
-  virtual ~KeptParts() = default;
+  virtual ~PrefixBlockRecorder() = default;
   /// Called once the first event of a request has arrived.
-  virtual void expect(const EngineId& engine, const std::string& salt,
-                      std::span<const PartSize> parts) = 0;
+  virtual void recordExpected(const EngineId& engine, const std::string& salt,
+                              std::span<const PromptBlock> blocks) = 0;
 };
 
 }  // namespace peppergate
--- a/src/requests/request_rules.cc
+++ b/src/requests/request_rules.cc
@@ -9,7 +9,7 @@
 namespace peppergate {
 namespace {
 
-constexpr std::array<HurdleRow, 15> kHurdles{{
+constexpr std::array<RejectionResponse, 15> kRejections{{
     {503, "not_installed", "requests.refused.not_installed"},
     {503, "stale", "requests.refused.stale"},
     {404, "no_route", "requests.refused.no_route"},
@@ -28,41 +28,43 @@
 }};
 
 /// Statuses that tell a client that the request has not run and never will.
-constexpr bool promisesNotRun(int status) {
+constexpr bool impliesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-std::map<int, int> places(const std::set<int>& values) {
-  std::map<int, int> places;
-  for (int value : values) places.emplace(value, static_cast<int>(places.size()));
-  return places;
+std::map<int, int> indexesOf(const std::set<int>& values) {
+  std::map<int, int> indexes;
+  for (int value : values) indexes.emplace(value, static_cast<int>(indexes.size()));
+  return indexes;
 }
 
 /// The index of a value. A value that isn't listed gets the index of the next larger one, or the
 /// last index.
-int placeOf(const std::map<int, int>& places, int value) {
-  auto found = places.lower_bound(value);
-  return found == places.end() ? static_cast<int>(places.size()) - 1 : found->second;
+int indexOf(const std::map<int, int>& indexes, int value) {
+  auto found = indexes.lower_bound(value);
+  return found == indexes.end() ? static_cast<int>(indexes.size()) - 1 : found->second;
 }
 
-constexpr int kRanks = 10;
+constexpr int kRankCount = 10;
 
 }  // namespace
 
-const HurdleRow& hurdleRow(Hurdle hurdle) { return kHurdles[static_cast<std::size_t>(hurdle)]; }
+const RejectionResponse& rejectionFor(RequestFailure reason) {
+  return kRejections[static_cast<std::size_t>(reason)];
+}
 
-HeadVerdict judgeHead(const AttemptTurned& turned, bool repeatable) {
-  int status = turned.head->status;
+HeadVerdict classifyHead(const AttemptEvent& event, bool repeatable) {
+  int status = event.head->status;
   bool good = status >= 200 && status < 300;
   if (good) {
     // A success that also states "not run" contradicts itself.
-    if (turned.success && !turned.notRun) return HeadVerdict::kSuccess;
-    return repeatable ? HeadVerdict::kFailed : HeadVerdict::kNoAnswer;
+    if (event.success && !event.notRun) return HeadVerdict::kSuccess;
+    return repeatable ? HeadVerdict::kFailed : HeadVerdict::kUnusable;
   }
-  if (turned.notRun || status == 421) return HeadVerdict::kNotRun;
-  if (status < 200) return HeadVerdict::kNoAnswer;
-  if (!repeatable) return promisesNotRun(status) ? HeadVerdict::kNoAnswer : HeadVerdict::kFinal;
-  return status >= 500 || promisesNotRun(status) ? HeadVerdict::kFailed : HeadVerdict::kFinal;
+  if (event.notRun || status == 421) return HeadVerdict::kNotRun;
+  if (status < 200) return HeadVerdict::kUnusable;
+  if (!repeatable) return impliesNotRun(status) ? HeadVerdict::kUnusable : HeadVerdict::kFinal;
+  return status >= 500 || impliesNotRun(status) ? HeadVerdict::kFailed : HeadVerdict::kFinal;
 }
 
 const ServiceShare* chooseService(const Route& route, std::string_view clientId) {
@@ -87,30 +89,34 @@
   bool anyOpen = false;
   for (const auto& route : config.routes) {
     routes.insert(route.urgency);
-    anyOpen = anyOpen || route.open;
+    anyOpen = anyOpen || route.allowsAnonymous;
   }
-  if (anyOpen || tenants.empty()) tenants.insert(kNoTenant);
-  tenants_ = places(tenants);
-  routes_ = places(routes);
+  if (anyOpen || tenants.empty()) tenants.insert(kNoTenantUrgency);
+  tenantIndexes_ = indexesOf(tenants);
+  routeIndexes_ = indexesOf(routes);
 }
 
-int UrgencyTable::of(int tenant, int route) const {
-  if (tenants_.empty() || routes_.empty()) return kNoTenant;
-  int routes = static_cast<int>(routes_.size());
-  int all = static_cast<int>(tenants_.size()) * routes;
-  int rank = placeOf(tenants_, tenant) * routes + placeOf(routes_, route);
-  return all <= kRanks ? rank : rank * kRanks / all;
+int UrgencyTable::rankOf(int tenant, int route) const {
+  if (tenantIndexes_.empty() || routeIndexes_.empty()) return kNoTenantUrgency;
+  int routes = static_cast<int>(routeIndexes_.size());
+  int all = static_cast<int>(tenantIndexes_.size()) * routes;
+  int rank = indexOf(tenantIndexes_, tenant) * routes + indexOf(routeIndexes_, route);
+  return all <= kRankCount ? rank : rank * kRankCount / all;
 }
 
-Duration firstSilence(const Route& route) { return std::max(route.target * 4, seconds(1.5)); }
+Duration firstEventTimeout(const Route& route) {
+  return std::max(route.responseTarget * 4, seconds(1.5));
+}
 
-Duration eventSilence(const Route& route) {
-  return std::max(route.gapTarget * 8, seconds(2)) * 0.6;
+Duration eventGapTimeout(const Route& route) {
+  return std::max(route.eventGapTarget * 8, seconds(2)) * 0.6;
 }
 
-Duration leastTime(const Route& route) { return std::max(route.target * 0.1, milliseconds(5)); }
+Duration minTimeLeft(const Route& route) {
+  return std::max(route.responseTarget * 0.1, milliseconds(5));
+}
 
-Duration comeBackAfter(std::optional<Duration> forecast, Duration timeLeft, Random& random) {
+Duration chooseRetryAfter(std::optional<Duration> forecast, Duration timeLeft, Random& random) {
   Duration wait = seconds(0.2 + 0.4 * random.fraction());
   if (forecast && forecast->microseconds > 0) wait = *forecast;
   return std::max(milliseconds(1), std::min(wait, timeLeft * (1.0 / 3)));
--- a/src/requests/request_rules.h
+++ b/src/requests/request_rules.h
@@ -10,7 +10,7 @@
 namespace peppergate {
 
 /// Why no attempt can be made now, or why a request failed.
-enum class Hurdle : std::uint8_t {
+enum class RequestFailure : std::uint8_t {
   kNotInstalled = 0,
   kStale,
   kNoRoute,
@@ -25,15 +25,15 @@
   kUnclear,
   kDeadline,
   kNotResumable,
-  kLeaving,
+  kDraining,
 };
 /// The response to a request that is rejected for one reason, and its counter.
-struct HurdleRow {
+struct RejectionResponse {
   int status;
   std::string_view kind;
-  std::string_view refused;  // name of the counter of rejections
+  std::string_view counter;  // name of the counter of rejections
 };
-const HurdleRow& hurdleRow(Hurdle hurdle);
+const RejectionResponse& rejectionFor(RequestFailure reason);
 
 /// What the head of an engine's response means for the request.
 enum class HeadVerdict : std::uint8_t {
@@ -41,12 +41,12 @@
   kNotRun,    // the engine did not run the request and never will
   kFailed,    // it may have run; another engine may succeed
   kFinal,     // it may have run; another engine would respond the same
-  kNoAnswer,  // it may have run; must not be forwarded as it is
+  kUnusable,  // it may have run; must not be forwarded as it is
 };
 /// Classifies a response head. A client may read some statuses (such as 503) as "not run". For a
 /// request that must not run twice, such a status must not be forwarded unless the engine states
 /// explicitly that it did not run the request.
-HeadVerdict judgeHead(const AttemptTurned& turned, bool repeatable);
+HeadVerdict classifyHead(const AttemptEvent& event, bool repeatable);
 
 /// Chooses a service by weight from a hash of the client id, so that one client id always gets the
 /// same service. Null if the route has no service with a weight.
@@ -58,22 +58,22 @@
  public:
   UrgencyTable() = default;
   explicit UrgencyTable(const FleetConfig& config);
-  int of(int tenant, int route) const;
+  int rankOf(int tenant, int route) const;
   /// The urgency of requests without a tenant, as on an open route.
-  static constexpr int kNoTenant = 5;
+  static constexpr int kNoTenantUrgency = 5;
 
  private:
-  std::map<int, int> tenants_, routes_;  // index of each urgency in ascending order
+  std::map<int, int> tenantIndexes_, routeIndexes_;  // index of each urgency in ascending order
 };
 
 /// How long an attempt may be silent before another engine is tried: before its first event, and
 /// between events.
-Duration firstSilence(const Route& route);
-Duration eventSilence(const Route& route);
+Duration firstEventTimeout(const Route& route);
+Duration eventGapTimeout(const Route& route);
 /// The least time before the deadline with which an attempt is still made.
-Duration leastTime(const Route& route);
+Duration minTimeLeft(const Route& route);
 /// The Retry-After of a rejected request: the forecast, or a random delay without one, and at most
 /// a third of the time that the client has left.
-Duration comeBackAfter(std::optional<Duration> forecast, Duration timeLeft, Random& random);
+Duration chooseRetryAfter(std::optional<Duration> forecast, Duration timeLeft, Random& random);
 
 }  // namespace peppergate
--- a/src/requests/requests.cc
+++ b/src/requests/requests.cc
@@ -8,18 +8,18 @@
 namespace {
 /// The most attempts that may end without a byte written. They cost their engines nothing, but each
 /// tries to open a connection.
-constexpr int kLargestUnwritten = 6;
+constexpr int kMaxUnwrittenAttempts = 6;
 /// How long new requests are accepted after draining has begun; later ones might not finish in
 /// time.
-constexpr Duration kTakenWhileLeaving = seconds(2.8);
+constexpr Duration kAcceptWhileDraining = seconds(2.8);
 /// The share of the retry budget available to requests whose response hasn't begun.
-constexpr double kShareBeforeAnswer = 0.8;
+constexpr double kBudgetShareBeforeResponse = 0.8;
 /// The timeout of routes that set none.
-constexpr Duration kNoTimeout = seconds(60);
+constexpr Duration kDefaultTimeout = seconds(60);
 
-MonotonicTime deadlineOf(const RequestArrived& asked, const Route& route, MonotonicTime now) {
-  Duration timeout = route.timeout.microseconds > 0 ? route.timeout : kNoTimeout;
-  return now + (asked.timeLeft ? std::min(*asked.timeLeft, timeout) : timeout);
+MonotonicTime deadlineOf(const RequestArrived& request, const Route& route, MonotonicTime now) {
+  Duration timeout = route.timeout.microseconds > 0 ? route.timeout : kDefaultTimeout;
+  return now + (request.timeLeft ? std::min(*request.timeLeft, timeout) : timeout);
 }
 
 const ServiceShare* shareOf(const Route& route, const ServiceName& service) {
@@ -28,265 +28,278 @@
 }
 }  // namespace
 
-Requests::Requests(RequestParts parts) : state_(std::make_unique<State>(parts)) {}
-Requests::~Requests() = default;
-void Requests::ask(RequestArrived arrived, MonotonicTime now, Outbox& outbox) {
-  state_->ask(std::move(arrived), now, outbox);
+RequestRouter::RequestRouter(RequestDependencies dependencies)
+    : state_(std::make_unique<State>(dependencies)) {}
+RequestRouter::~RequestRouter() = default;
+void RequestRouter::handleRequest(RequestArrived arrival, MonotonicTime now, Outbox& outbox) {
+  state_->handleRequest(std::move(arrival), now, outbox);
 }
-void Requests::turn(AttemptTurned turned, MonotonicTime now, Outbox& outbox) {
-  state_->turn(std::move(turned), now, outbox);
+void RequestRouter::handleAttemptEvent(AttemptEvent event, MonotonicTime now, Outbox& outbox) {
+  state_->handleAttemptEvent(std::move(event), now, outbox);
 }
-void Requests::gone(RequestId request, MonotonicTime now, Outbox& outbox) {
-  state_->gone(request, now, outbox);
+void RequestRouter::handleCancelled(RequestId request, MonotonicTime now, Outbox& outbox) {
+  state_->handleCancelled(request, now, outbox);
 }
-void Requests::slow(const ClientSlow& slow, MonotonicTime now, Outbox& outbox) {
-  state_->slow(slow, now, outbox);
+void RequestRouter::handleBackpressure(const RequestBackpressure& backpressure, MonotonicTime now,
+                                       Outbox& outbox) {
+  state_->handleBackpressure(backpressure, now, outbox);
 }
-void Requests::leave(MonotonicTime now) { state_->leave(now); }
-void Requests::tick(MonotonicTime now, Outbox& outbox) { state_->tick(now, outbox); }
-std::size_t Requests::live() const { return state_->requests.size(); }
+void RequestRouter::startDraining(MonotonicTime now) { state_->startDraining(now); }
+void RequestRouter::tick(MonotonicTime now, Outbox& outbox) { state_->tick(now, outbox); }
+std::size_t RequestRouter::activeRequests() const { return state_->requests.size(); }
 
-void Requests::State::ask(RequestArrived arrived, MonotonicTime now, Outbox& outbox) {
-  if (requests.contains(arrived.request.value)) return outbox.count("requests.doubled");
+void RequestRouter::State::handleRequest(RequestArrived arrival, MonotonicTime now,
+                                         Outbox& outbox) {
+  if (requests.contains(arrival.request.value)) return outbox.count("requests.doubled");
   outbox.count("requests.asked");
-  LiveRequest request;
-  request.asked = std::move(arrived);
-  request.times.arrived(now);
-  if (leavingSince != kForever && now - leavingSince > kTakenWhileLeaving)
-    return giveUp(request, {Hurdle::kLeaving}, now, outbox);
-  auto planned = plan(request, now, outbox);
-  if (auto* fault = std::get_if<AttemptFault>(&planned))
-    return giveUp(request, *fault, now, outbox);
-  std::uint64_t id = request.asked.request.value;
-  auto place = requests.emplace(id, std::move(request)).first;
+  ActiveRequest request;
+  request.arrival = std::move(arrival);
+  request.timer.start(now);
+  if (drainingSince != kForever && now - drainingSince > kAcceptWhileDraining)
+    return failRequest(request, {RequestFailure::kDraining}, now, outbox);
+  auto planned = planAttempt(request, now, outbox);
+  if (auto* failure = std::get_if<PlanFailure>(&planned))
+    return failRequest(request, *failure, now, outbox);
+  std::uint64_t id = request.arrival.request.value;
+  auto inserted = requests.emplace(id, std::move(request)).first;
   outbox.count("attempts.first");
-  send(place->second, std::move(std::get<AttemptPlan>(planned)), now, outbox);
+  sendAttempt(inserted->second, std::move(std::get<AttemptPlan>(planned)), now, outbox);
 }
 
 /// Checks all conditions for one more attempt and chooses its engine. Each attempt is checked
 /// against the current configuration, not the one in force when the request arrived.
-std::variant<AttemptPlan, AttemptFault> Requests::State::plan(LiveRequest& request,
-                                                              MonotonicTime now, Outbox& outbox) {
-  if (!parts.facts.installed()) return AttemptFault{Hurdle::kNotInstalled};
-  MonotonicTime freshUntil = parts.facts.freshUntil(now);
-  if (freshUntil <= now) return AttemptFault{Hurdle::kStale};
+std::variant<AttemptPlan, PlanFailure> RequestRouter::State::planAttempt(ActiveRequest& request,
+                                                                         MonotonicTime now,
+                                                                         Outbox& outbox) {
+  if (!dependencies.fleet.installed()) return PlanFailure{RequestFailure::kNotInstalled};
+  MonotonicTime freshUntil = dependencies.fleet.freshUntil(now);
+  if (freshUntil <= now) return PlanFailure{RequestFailure::kStale};
   refreshCaches();
-  const FleetConfig& config = parts.facts.config();
-  const Route* route = routeOf(request);
-  if (!route) return AttemptFault{Hurdle::kNoRoute};
+  const FleetConfig& config = dependencies.fleet.config();
+  const Route* route = currentRoute(request);
+  if (!route) return PlanFailure{RequestFailure::kNoRoute};
   const TenantConfig* tenant = nullptr;
-  if (!route->open && !config.tenants.empty()) {
-    if (!request.asked.key.empty()) tenant = parts.facts.tenantOfKey(request.asked.key);
-    if (!tenant) return AttemptFault{Hurdle::kUnknownKey};
+  if (!route->allowsAnonymous && !config.tenants.empty()) {
+    if (!request.arrival.key.empty()) tenant = dependencies.fleet.tenantOfKey(request.arrival.key);
+    if (!tenant) return PlanFailure{RequestFailure::kUnknownKey};
   }
   AttemptPlan plan;
   if (tenant) plan.tenant = tenant->name;
   if (!request.route) {
-    request.route = keepRoute(route);
-    request.deadline = deadlineOf(request.asked, *route, now);
+    request.route = sharedRoute(route);
+    request.deadline = deadlineOf(request.arrival, *route, now);
   } else {
     // Once the request may have run, both its original route and the current one have to allow it
     // to run again.
     bool mayHaveRun = request.mayHaveRun || request.attempt;
     if (mayHaveRun &&
         (route->kind != request.route->kind || !repeatable(*route) || !repeatable(*request.route)))
-      return AttemptFault{Hurdle::kBroken};
-    if (request.answering && plan.tenant != request.tenant)
-      return AttemptFault{Hurdle::kUnknownKey};
+      return PlanFailure{RequestFailure::kBroken};
+    if (request.responseStarted && plan.tenant != request.tenant)
+      return PlanFailure{RequestFailure::kUnknownKey};
   }
-  if (request.deadline - now < leastTime(*route)) return AttemptFault{Hurdle::kTooLate};
-  if (!attemptsLeft(request, *route)) return AttemptFault{Hurdle::kNoAttemptsLeft};
-  if (request.unwritten >= kLargestUnwritten)
-    return AttemptFault{request.answering ? Hurdle::kNoEngine : Hurdle::kNoAttemptsLeft};
+  if (request.deadline - now < minTimeLeft(*route)) return PlanFailure{RequestFailure::kTooLate};
+  if (!attemptsLeft(request, *route)) return PlanFailure{RequestFailure::kNoAttemptsLeft};
+  if (request.unwrittenAttempts >= kMaxUnwrittenAttempts)
+    return PlanFailure{request.responseStarted ? RequestFailure::kNoEngine
+                                               : RequestFailure::kNoAttemptsLeft};
   const ServiceShare* share = shareOf(*route, request.service);
-  if (!share) share = chooseService(*route, request.asked.clientId);
-  if (!share) return AttemptFault{Hurdle::kNoRoute};
-  plan.paid = request.sent > 0 || request.attempt;
-  if (plan.paid && !budgetAllows(request, share->service, now))
-    return AttemptFault{Hurdle::kOverBudget};
+  if (!share) share = chooseService(*route, request.arrival.clientId);
+  if (!share) return PlanFailure{RequestFailure::kNoRoute};
+  plan.chargedToBudget = request.sentAttempts > 0 || request.attempt;
+  if (plan.chargedToBudget && !budgetAllows(request, share->service, now))
+    return PlanFailure{RequestFailure::kOverBudget};
 
-  plan.urgency = urgencies.of(tenant ? tenant->urgency : UrgencyTable::kNoTenant, route->urgency);
-  PlacementAsk ask;
-  ask.request = request.asked.request;
+  plan.urgency = urgencyTable.rankOf(tenant ? tenant->urgency : UrgencyTable::kNoTenantUrgency,
+                                     route->urgency);
+  PlacementRequest ask;
+  ask.request = request.arrival.request;
   ask.route = route;
   ask.service = share->service;
-  ask.model = request.asked.model;
+  ask.model = request.arrival.model;
   ask.tenant = plan.tenant;
   ask.isolated = tenant && tenant->isolated;
   ask.urgency = plan.urgency;
-  ask.parts = request.asked.parts;
-  ask.tokensIn = request.asked.tokensIn;
-  ask.tokensOut = request.asked.tokensOut;
+  ask.promptBlocks = request.arrival.promptBlocks;
+  ask.promptTokens = request.arrival.tokensIn;
+  ask.outputTokens = request.arrival.tokensOut;
   ask.timeLeft = request.deadline - now;
-  ask.tried = request.tried;
-  auto placed = parts.placer.place(ask, config, parts.facts.weights(), now, outbox);
-  if (auto* refusal = std::get_if<PlaceRefusal>(&placed))
-    return AttemptFault{refusal->fault == PlaceFault::kFull ? Hurdle::kFull : Hurdle::kNoEngine,
-                        refusal->comeBack};
-  plan.placed = std::move(std::get<Placed>(placed));
+  ask.triedEngines = request.triedEngines;
+  auto placed = dependencies.placer.place(ask, config, dependencies.fleet.weights(), now, outbox);
+  if (auto* refusal = std::get_if<PlacementRejection>(&placed))
+    return PlanFailure{refusal->reason == PlacementFailure::kFull ? RequestFailure::kFull
+                                                                  : RequestFailure::kNoEngine,
+                       refusal->retryAfter};
+  plan.placed = std::move(std::get<PlacementDecision>(placed));
   plan.service = share->service;
   plan.writeBefore = std::min(freshUntil, request.deadline);
-  plan.route = route == request.route.get() ? request.route : keepRoute(route);
+  plan.route = route == request.route.get() ? request.route : sharedRoute(route);
   return plan;
 }
 
 /// The current route. A stream in progress whose route was removed continues under its original
 /// route, as it was admitted while that was in force.
-const Route* Requests::State::routeOf(const LiveRequest& request) const {
-  const Route* route = parts.facts.route(request.asked.host, request.asked.path);
-  return route == nullptr && request.answering ? request.route.get() : route;
+const Route* RequestRouter::State::currentRoute(const ActiveRequest& request) const {
+  const Route* route = dependencies.fleet.route(request.arrival.host, request.arrival.path);
+  return route == nullptr && request.responseStarted ? request.route.get() : route;
 }
 
 /// Whether the route allows one more attempt. Before a response head was forwarded, each attempt
 /// that may have reached an engine counts. A response in progress can't be rejected any more, so
 /// only the attempts that may have run count, not those that were declined.
-bool Requests::State::attemptsLeft(const LiveRequest& request, const Route& route) const {
-  int over = request.answering ? request.runs : request.sent;
+bool RequestRouter::State::attemptsLeft(const ActiveRequest& request, const Route& route) const {
+  int over = request.responseStarted ? request.possibleRuns : request.sentAttempts;
   int used = over + (request.attempt ? 1 : 0);
   return used < std::max(1, std::min(route.attempts, request.route->attempts));
 }
 
 /// Part of the budget is reserved for streams in progress, which can't be rejected any more.
-bool Requests::State::budgetAllows(const LiveRequest& request, const ServiceName& service,
-                                   MonotonicTime now) {
-  if (!parts.options.guards(Guard::kBudget)) return true;
+bool RequestRouter::State::budgetAllows(const ActiveRequest& request, const ServiceName& service,
+                                        MonotonicTime now) {
+  if (!dependencies.options.isGuardEnabled(SafetyGuard::kBudget)) return true;
   BudgetTerms terms = budgetTerms();
-  if (!request.answering) terms.share *= kShareBeforeAnswer;
-  return budgets[service].allows(terms, now);
+  if (!request.responseStarted) terms.share *= kBudgetShareBeforeResponse;
+  return budgets[service].allowsRetry(terms, now);
 }
 
-void Requests::State::send(LiveRequest& request, AttemptPlan plan, MonotonicTime now,
-                           Outbox& outbox) {
-  LiveAttempt attempt;
-  attempt.id = {++lastAttempt};
+void RequestRouter::State::sendAttempt(ActiveRequest& request, AttemptPlan plan, MonotonicTime now,
+                                       Outbox& outbox) {
+  ActiveAttempt attempt;
+  attempt.id = {++lastAttemptId};
   attempt.engine = plan.placed.engine;
   attempt.salt = std::move(plan.placed.salt);
-  attempt.toRead = plan.placed.toRead;
-  attempt.expect = plan.placed.version;
-  attempt.opened = now;
+  attempt.prefillTokens = plan.placed.prefillTokens;
+  attempt.expectedVersion = plan.placed.version;
+  attempt.openedAt = now;
   attempt.writeBefore = plan.writeBefore;
-  attempt.paid = plan.paid;
-  attempt.resumed = request.answering;
+  attempt.chargedToBudget = plan.chargedToBudget;
+  attempt.resumesResponse = request.responseStarted;
   request.service = std::move(plan.service);
   request.tenant = std::move(plan.tenant);
   request.route = std::move(plan.route);
-  request.heard = now;
-  request.resumeAt = kForever;
-  request.tried.push_back(attempt.engine);
-  if (!request.counted) budgets[request.service].first(budgetTerms(), now);
-  if (plan.paid) budgets[request.service].take(now);
-  request.counted = true;
+  request.lastActivity = now;
+  request.retryAt = kForever;
+  request.triedEngines.push_back(attempt.engine);
+  if (!request.countedInBudget) budgets[request.service].recordFirstAttempt(budgetTerms(), now);
+  if (plan.chargedToBudget) budgets[request.service].recordRetry(now);
+  request.countedInBudget = true;
 
   OpenAttempt open;
   open.attempt = attempt.id;
-  open.request = request.asked.request;
-  open.wire = request.asked.wire;
-  open.clientId = request.asked.clientId;
+  open.request = request.arrival.request;
+  open.wire = request.arrival.wire;
+  open.clientId = request.arrival.clientId;
   open.address = std::move(plan.placed.address);
   open.engine = attempt.engine;
-  open.stream = request.stream();
+  open.stream = request.isStream();
   open.timeLeft = request.deadline - now;
-  open.resumeAfter = request.lastEvent ? request.lastEvent : request.asked.resumeAfter;
+  open.resumeAfterEventId = request.lastForwardedEventId ? request.lastForwardedEventId
+                                                         : request.arrival.resumeAfterEventId;
   open.tenant = request.tenant;
   open.salt = attempt.salt;
   open.urgency = plan.urgency;
-  open.expect = attempt.expect;
+  open.expectedVersion = attempt.expectedVersion;
   open.collectFrom = std::move(plan.placed.collectFrom);
   open.depositAt = std::move(plan.placed.depositAt);
   open.connectTimeout = std::min(open.connectTimeout, open.timeLeft);
   open.writeBefore = attempt.writeBefore;
-  parts.ledger.sent(attempt.engine, attempt.toRead);
-  attempts.emplace(attempt.id.value, request.asked.request.value);
-  if (attempt.resumed) outbox.count("streams.resumed");
+  dependencies.engineTraffic.recordAttemptSent(attempt.engine, attempt.prefillTokens);
+  requestByAttempt.emplace(attempt.id.value, request.arrival.request.value);
+  if (attempt.resumesResponse) outbox.count("streams.resumed");
   outbox.count("attempts.opened");
   AttemptId id = attempt.id;
   request.attempt = std::move(attempt);
   outbox.push(std::move(open));
-  if (request.slow) outbox.push(PauseAttempt{id, true});
-  arm(request);
+  if (request.clientSlow) outbox.push(PauseAttempt{id, true});
+  scheduleCheck(request);
 }
 
 /// Ends a request that has no current attempt. A response in progress is truncated; otherwise the
 /// request is rejected, but never with a status that says "not run" if it may have run.
-void Requests::State::giveUp(LiveRequest& request, AttemptFault fault, MonotonicTime now,
-                             Outbox& outbox) {
-  if (request.answering) return cut(request, outbox);
-  HurdleRow row = hurdleRow(fault.hurdle);
-  bool promise = row.status != 502 && row.status != 504;
-  if (request.mayHaveRun && promise && parts.options.guards(Guard::kHonestRejection))
-    row = hurdleRow(fault.hurdle == Hurdle::kTooLate ? Hurdle::kDeadline : Hurdle::kBroken);
-  RefuseRequest refuse{request.asked.request, row.status, row.kind, std::nullopt};
-  if (row.status == 503) {
-    Duration left =
-        request.route ? request.deadline - now : request.asked.timeLeft.value_or(seconds(3));
-    auto forecast = fault.comeBack ? fault.comeBack : request.retryAfter;
-    refuse.retryAfter = comeBackAfter(forecast, left, parts.random);
+void RequestRouter::State::failRequest(ActiveRequest& request, PlanFailure failure,
+                                       MonotonicTime now, Outbox& outbox) {
+  if (request.responseStarted) return truncateResponse(request, outbox);
+  RejectionResponse response = rejectionFor(failure.reason);
+  bool impliesNotRun = response.status != 502 && response.status != 504;
+  if (request.mayHaveRun && impliesNotRun &&
+      dependencies.options.isGuardEnabled(SafetyGuard::kMayHaveRunReported))
+    response = rejectionFor(failure.reason == RequestFailure::kTooLate ? RequestFailure::kDeadline
+                                                                       : RequestFailure::kBroken);
+  RejectRequest rejection{request.arrival.request, response.status, response.kind, std::nullopt};
+  if (response.status == 503) {
+    Duration timeLeft =
+        request.route ? request.deadline - now : request.arrival.timeLeft.value_or(seconds(3));
+    auto forecast = failure.retryAfter ? failure.retryAfter : request.retryAfter;
+    rejection.retryAfter = chooseRetryAfter(forecast, timeLeft, dependencies.random);
   }
-  outbox.count(row.refused);
-  outbox.push(refuse);
-  finish(request);
+  outbox.count(response.counter);
+  outbox.push(rejection);
+  removeRequest(request);
 }
 
-void Requests::State::cut(LiveRequest& request, Outbox& outbox) {
+void RequestRouter::State::truncateResponse(ActiveRequest& request, Outbox& outbox) {
   outbox.count("requests.cut");
-  outbox.push(AnswerDone{request.asked.request, false});
-  finish(request);
+  outbox.push(FinishResponse{request.arrival.request, false});
+  removeRequest(request);
 }
 
-void Requests::State::finish(LiveRequest& request) {
-  std::uint64_t id = request.asked.request.value;
-  if (request.attempt) attempts.erase(request.attempt->id.value);
-  auto found = requests.find(id);
+void RequestRouter::State::removeRequest(ActiveRequest& request) {
+  std::uint64_t requestId = request.arrival.request.value;
+  if (request.attempt) requestByAttempt.erase(request.attempt->id.value);
+  auto found = requests.find(requestId);
   if (found == requests.end() || &found->second != &request) return;  // it was never admitted
-  dues.erase({request.due, id});
+  checkSchedule.erase({request.scheduledCheck, requestId});
   requests.erase(found);
 }
 
 /// Ends the current attempt; its later events are ignored.
-void Requests::State::release(LiveRequest& request, AttemptEnd how, MonotonicTime now) {
-  const LiveAttempt& attempt = *request.attempt;
-  parts.ledger.ended(attempt.engine, how, attempt.toRead, attempt.first, now);
-  if (!attempt.first) parts.placer.dropped(request.asked.request);
-  attempts.erase(attempt.id.value);
+void RequestRouter::State::endAttempt(ActiveRequest& request, AttemptOutcome outcome,
+                                      MonotonicTime now) {
+  const ActiveAttempt& attempt = *request.attempt;
+  dependencies.engineTraffic.recordAttemptEnded(attempt.engine, outcome, attempt.prefillTokens,
+                                                attempt.firstEventSeen, now);
+  if (!attempt.firstEventSeen) dependencies.placer.endedWithoutEvent(request.arrival.request);
+  requestByAttempt.erase(attempt.id.value);
   request.attempt.reset();
 }
 
-void Requests::State::gone(RequestId id, MonotonicTime now, Outbox& outbox) {
+void RequestRouter::State::handleCancelled(RequestId id, MonotonicTime now, Outbox& outbox) {
   auto found = requests.find(id.value);
   if (found == requests.end()) return;
   outbox.count("requests.gone");
-  LiveRequest& request = found->second;
-  dropAttempt(request, now, outbox);
-  finish(request);
+  ActiveRequest& request = found->second;
+  cancelAttempt(request, now, outbox);
+  removeRequest(request);
 }
 
 /// Cancels the current attempt, so that the engine stops working on it.
-void Requests::State::dropAttempt(LiveRequest& request, MonotonicTime now, Outbox& outbox) {
+void RequestRouter::State::cancelAttempt(ActiveRequest& request, MonotonicTime now,
+                                         Outbox& outbox) {
   if (!request.attempt) return;
   outbox.push(CancelAttempt{request.attempt->id});
-  release(request, AttemptEnd::kClientGone, now);
-  ++request.sent;
-  ++request.runs;
+  endAttempt(request, AttemptOutcome::kClientDisconnected, now);
+  ++request.sentAttempts;
+  ++request.possibleRuns;
   request.mayHaveRun = true;
 }
 
-void Requests::State::refreshCaches() {
-  if (cached && changes == parts.facts.changes()) return;
-  cached = true;
-  changes = parts.facts.changes();
-  routes.clear();
-  urgencies = UrgencyTable(parts.facts.config());
+void RequestRouter::State::refreshCaches() {
+  if (cachesFilled && cachedInstallCount == dependencies.fleet.installCount()) return;
+  cachesFilled = true;
+  cachedInstallCount = dependencies.fleet.installCount();
+  sharedRoutes.clear();
+  urgencyTable = UrgencyTable(dependencies.fleet.config());
 }
 
-std::shared_ptr<const Route> Requests::State::keepRoute(const Route* route) {
-  auto& kept = routes[route];
+std::shared_ptr<const Route> RequestRouter::State::sharedRoute(const Route* route) {
+  auto& kept = sharedRoutes[route];
   if (!kept) kept = std::make_shared<const Route>(*route);
   return kept;
 }
 
-BudgetTerms Requests::State::budgetTerms() const {
-  return {parts.options.budgetShare, parts.options.budgetWindow,
-          slackPart(parts.options.budgetSlack, fronts.most())};
+BudgetTerms RequestRouter::State::budgetTerms() const {
+  return {dependencies.options.budgetShare, dependencies.options.budgetWindow,
+          slackShare(dependencies.options.budgetSlack, routerCount.largest())};
 }
 
 }  // namespace peppergate
--- a/src/requests/requests.h
+++ b/src/requests/requests.h
@@ -12,37 +12,38 @@
 namespace peppergate {
 
 /// The parts of the router that request handling depends on.
-struct RequestParts {
+struct RequestDependencies {
   const Options& options;
-  const FleetFacts& facts;
-  EngineLedger& ledger;
-  KeptParts& kept;
+  const FleetStateView& fleet;
+  EngineTrafficRecorder& engineTraffic;
+  PrefixBlockRecorder& prefixBlocks;
   Placer& placer;
   Random& random;
 };
 
 /// All client requests of this router, from their arrival to their one final response. Sends each
 /// request to an engine and retries, resumes or rejects it as its attempts go on.
-class Requests {
+class RequestRouter {
  public:
-  explicit Requests(RequestParts parts);
-  ~Requests();
+  explicit RequestRouter(RequestDependencies dependencies);
+  ~RequestRouter();
   /// Handles a new client request: sends a first attempt, or rejects the request at once.
-  void ask(RequestArrived arrived, MonotonicTime now, Outbox& outbox);
+  void handleRequest(RequestArrived arrival, MonotonicTime now, Outbox& outbox);
   /// Handles progress or failure of an attempt.
-  void turn(AttemptTurned turned, MonotonicTime now, Outbox& outbox);
+  void handleAttemptEvent(AttemptEvent event, MonotonicTime now, Outbox& outbox);
   /// Handles a client disconnect: cancels the current attempt and makes no further one.
-  void gone(RequestId request, MonotonicTime now, Outbox& outbox);
+  void handleCancelled(RequestId request, MonotonicTime now, Outbox& outbox);
   /// Applies client backpressure: pauses or continues reading from the request's attempt.
-  void slow(const ClientSlow& slow, MonotonicTime now, Outbox& outbox);
+  void handleBackpressure(const RequestBackpressure& backpressure, MonotonicTime now,
+                          Outbox& outbox);
   /// Starts draining. Requests in progress go on; new requests are rejected after a short delay,
   /// and requests that still have no response shortly before the end of the grace time are
   /// rejected.
-  void leave(MonotonicTime now);
+  void startDraining(MonotonicTime now);
   /// Handles deadlines and silent engines. Called on each tick; the cost depends only on the
   /// requests that are due, not on all of them.
   void tick(MonotonicTime now, Outbox& outbox);
-  std::size_t live() const;
+  std::size_t activeRequests() const;
 
  private:
   struct State;
--- a/src/requests/router_node.cc
+++ b/src/requests/router_node.cc
@@ -6,18 +6,18 @@
 namespace {
 
 // Paces of usage broadcasts, by the number of routers. Unchanged usage is sent only every second
-// time and expires at its receivers after two seconds (`EngineBook`), so twice the longest interval
-// has to be shorter than that.
+// time and expires at its receivers after two seconds (`EngineRegistry`), so twice the longest
+// interval has to be shorter than that.
 //
 // Usage of links:
-constexpr FleetPace kTell{seconds(0.5), milliseconds(10), seconds(0.95)};
+constexpr BroadcastInterval kLinkUsagePace{seconds(0.5), milliseconds(10), seconds(0.95)};
 // Requests of this router per engine, which are useful for about as long as a prompt waits for its
 // prefill:
-constexpr FleetPace kTellUse{seconds(0.2), milliseconds(5), seconds(0.5)};
+constexpr BroadcastInterval kEngineUsePace{seconds(0.2), milliseconds(5), seconds(0.5)};
 // The fraction of the interval within which a round is sent.
-constexpr double kToldWithin = 0.9;
+constexpr double kBroadcastSendFraction = 0.9;
 // The time from the drain request until no more clients are sent here.
-constexpr Duration kNoticed = seconds(3.2);
+constexpr Duration kDrainNoticeTime = seconds(3.2);
 
 }  // namespace
 
@@ -27,48 +27,53 @@
   membership_ = std::make_unique<Membership>(options_, self, std::move(seeds), random_);
   follower_ = std::make_unique<Follower>(options_, *membership_, random_);
   operatorHandler_ = std::make_unique<OperatorHandler>(options_, *membership_, *follower_);
-  lister_ = std::make_unique<Lister>(options_, *membership_, random_);
-  book_ = std::make_unique<EngineBook>(options_);
-  watch_ = std::make_unique<PartWatch>(options_, *membership_, index_);
-  fetches_ = std::make_unique<FetchDesk>(options_);
-  fetches_->regions(std::move(regions));
+  lister_ = std::make_unique<EngineDiscovery>(options_, *membership_, random_);
+  book_ = std::make_unique<EngineRegistry>(options_);
+  watch_ = std::make_unique<PrefixCacheWatcher>(options_, *membership_, index_);
+  fetches_ = std::make_unique<FetchPlanner>(options_);
+  fetches_->setRegions(std::move(regions));
   placement_ = std::make_unique<Placement>(options_, *book_, index_, *fetches_, random_);
-  placement_->in(membership_->self().zone);
-  facts_ = std::make_unique<FollowerFacts>(options_, *follower_, *membership_);
-  requests_ = std::make_unique<Requests>(
-      RequestParts{options_, *facts_, *book_, index_, *placement_, random_});
-  membership_->carry([this](Shuffle& shuffle) {
-    shuffle.withdrawn = follower_->recentWithdrawn();
+  placement_->setZone(membership_->self().zone);
+  fleetState_ = std::make_unique<FollowerStateView>(options_, *follower_, *membership_);
+  requestRouter_ = std::make_unique<RequestRouter>(
+      RequestDependencies{options_, *fleetState_, *book_, index_, *placement_, random_});
+  membership_->setShuffleExtension([this](Shuffle& shuffle) {
+    shuffle.withdrawn = follower_->recentlyWithdrawn();
     shuffle.engineList = lister_->version();
   });
 }
 
 void RouterNode::step(const Event& event, MonotonicTime now) {
-  if (std::holds_alternative<Ticked>(event)) tick(now);
-  else if (auto* turned = std::get_if<AttemptTurned>(&event))
-    requests_->turn(*turned, now, outbox_);
-  else if (auto* asked = std::get_if<RequestArrived>(&event)) requests_->ask(*asked, now, outbox_);
-  else if (auto* arrival = std::get_if<Arrived>(&event)) arrived(*arrival, now);
-  else if (auto* gone = std::get_if<RequestGone>(&event))
-    requests_->gone(gone->request, now, outbox_);
-  else if (auto* slow = std::get_if<ClientSlow>(&event)) requests_->slow(*slow, now, outbox_);
-  else if (auto* page = std::get_if<OperatorRequest>(&event)) operatorAsked(*page, now);
+  if (std::holds_alternative<Tick>(event)) tick(now);
+  else if (auto* attemptEvent = std::get_if<AttemptEvent>(&event))
+    requestRouter_->handleAttemptEvent(*attemptEvent, now, outbox_);
+  else if (auto* arrival = std::get_if<RequestArrived>(&event))
+    requestRouter_->handleRequest(*arrival, now, outbox_);
+  else if (auto* message = std::get_if<MessageReceived>(&event)) handleMessage(*message, now);
+  else if (auto* cancelled = std::get_if<RequestCancelled>(&event))
+    requestRouter_->handleCancelled(cancelled->request, now, outbox_);
+  else if (auto* backpressure = std::get_if<RequestBackpressure>(&event))
+    requestRouter_->handleBackpressure(*backpressure, now, outbox_);
+  else if (auto* operatorRequest = std::get_if<OperatorRequest>(&event))
+    handleOperatorRequest(*operatorRequest, now);
   else if (std::holds_alternative<DrainRequest>(event)) {
-    if (drainSince_ == kForever) drainSince_ = now;
-    requests_->leave(now);
-    membership_->leave(outbox_);
-  } else if (!answered(event, now)) {
+    if (drainingSince_ == kForever) drainingSince_ = now;
+    requestRouter_->startDraining(now);
+    membership_->announceLeaving(outbox_);
+  } else if (!handleReply(event, now)) {
     outbox_.count("events.unexpected");
   }
 }
 
-bool RouterNode::answered(const Event& event, MonotonicTime now) {
-  if (auto* polled = std::get_if<PartsPolled>(&event)) return watch_->polled(*polled, now, outbox_);
-  if (auto* listed = std::get_if<PartsListed>(&event)) return watch_->listed(*listed, now, outbox_);
+bool RouterNode::handleReply(const Event& event, MonotonicTime now) {
+  if (auto* polled = std::get_if<PrefixBlocksPolled>(&event))
+    return watch_->handlePoll(*polled, now, outbox_);
+  if (auto* listed = std::get_if<PrefixBlocksListed>(&event))
+    return watch_->handleListing(*listed, now, outbox_);
   if (auto* page = std::get_if<EnginesListed>(&event)) {
-    bool mine = lister_->listed(*page, now, outbox_);
-    takeList(now);
-    return mine;
+    bool accepted = lister_->handlePage(*page, now, outbox_);
+    applyEngineList(now);
+    return accepted;
   }
   return false;
 }
@@ -78,123 +83,125 @@
   follower_->tick(now, outbox_);
   operatorHandler_->tick(now, outbox_);
   lister_->tick(false, Epoch{}, now, outbox_);
-  takeList(now);
-  takeChanges(now);
-  noteCoreTrouble(now);
+  applyEngineList(now);
+  applyControlState(now);
+  detectControlOutage(now);
   book_->tick(now);
-  const FleetConfig& fleet = follower_->setup().fleet;
+  const FleetConfig& fleet = follower_->setup().fleetConfig;
   watch_->tick(*book_, fleet, now, outbox_);
   placement_->tick(fleet, now, outbox_);
-  requests_->tick(now, outbox_);
-  tellOthers(now);
+  requestRouter_->tick(now, outbox_);
+  broadcastUsage(now);
 }
 
-void RouterNode::takeList(MonotonicTime now) {
-  book_->confirmed(lister_->seen());
-  if (lister_->version() == bookVersion_) return;
-  bookVersion_ = lister_->version();
-  book_->take(lister_->engines(), bookVersion_, now);
-  book_->loading(lister_->loadingNow(), now);
-  placement_->links(follower_->setup().fleet);
+void RouterNode::applyEngineList(MonotonicTime now) {
+  book_->confirm(lister_->confirmedAt());
+  if (lister_->version() == appliedListVersion_) return;
+  appliedListVersion_ = lister_->version();
+  book_->update(lister_->engines(), appliedListVersion_, now);
+  book_->setLoading(lister_->loadingEngines(), now);
+  placement_->updateLinks(follower_->setup().fleetConfig);
   outbox_.count("lists.taken");
 }
 
-void RouterNode::takeChanges(MonotonicTime now) {
-  if (follower_->changesSeen() == changesSeen_) return;
-  changesSeen_ = follower_->changesSeen();
-  placement_->take(follower_->setup());
-  placement_->links(follower_->setup().fleet);
-  placement_->named(follower_->weights(), follower_->weightsNamedSince(), now);
+void RouterNode::applyControlState(MonotonicTime now) {
+  if (follower_->changeCount() == appliedChanges_) return;
+  appliedChanges_ = follower_->changeCount();
+  placement_->setOperatorSetup(follower_->setup());
+  placement_->updateLinks(follower_->setup().fleetConfig);
+  placement_->setTargetWeights(follower_->weights(), follower_->weightsPublishedSince(), now);
 }
 
 // Engines can't be moved to new weights while the control plane is down, so older weights stay
 // usable for longer.
-void RouterNode::noteCoreTrouble(MonotonicTime now) {
-  Duration silence =
-      leaderSilence_.tick(follower_->primaryOrigin(), follower_->primaryEpoch(), now);
-  if (silence > Duration{}) placement_->withoutLeader(silence);
-  if (coreLives_.restarted(membership_->liveCores())) placement_->coreRestarted(now);
+void RouterNode::detectControlOutage(MonotonicTime now) {
+  Duration outage =
+      leaderOutage_.tick(follower_->leaderProofOrigin(), follower_->leaderProofEpoch(), now);
+  if (outage > Duration{}) placement_->addLeaderOutage(outage);
+  if (controlRestarts_.detectRestart(membership_->liveCores())) placement_->restartGraceTime(now);
 }
 
-void RouterNode::tellOthers(MonotonicTime now) {
-  told_.tick(now, outbox_);
-  toldUse_.tick(now, outbox_);
-  relayed_.tick(now, outbox_);
-  if (!follower_->installed()) return;
-  if (now >= nextTellUse_) tellUse(now);
-  if (now >= nextTell_) tellLinks(now);
+void RouterNode::broadcastUsage(MonotonicTime now) {
+  linkUsageBroadcast_.tick(now, outbox_);
+  engineUseBroadcast_.tick(now, outbox_);
+  zoneRelay_.tick(now, outbox_);
+  if (!follower_->hasConfiguration()) return;
+  if (now >= nextEngineUseBroadcast_) broadcastEngineUse(now);
+  if (now >= nextLinkBroadcast_) broadcastLinkUsage(now);
 }
 
 /// Broadcasts this router's requests per engine, the data that goes stale fastest.
-void RouterNode::tellUse(MonotonicTime now) {
-  Duration interval = kTellUse.between(membership_->frontCount());
-  nextTellUse_ = now + interval;
+void RouterNode::broadcastEngineUse(MonotonicTime now) {
+  Duration interval = kEngineUsePace.forMembers(membership_->routerCount());
+  nextEngineUseBroadcast_ = now + interval;
   // Receivers count the routers that report a failure by sender address, so reports aren't relayed.
   std::vector<Message> troubles;
-  for (auto& trouble : book_->troubles()) troubles.emplace_back(std::move(trouble));
-  toldUse_.begin(membership_->otherFronts(), std::move(troubles), interval * kToldWithin, now);
-  auto use = book_->use(membership_->self().member);
+  for (auto& trouble : book_->takeFailureReports()) troubles.emplace_back(std::move(trouble));
+  engineUseBroadcast_.begin(membership_->otherRouterAddresses(), std::move(troubles),
+                            interval * kBroadcastSendFraction, now);
+  auto use = book_->loadReport(membership_->self().member);
   std::vector<Message> messages;
   if (use) messages.emplace_back(std::move(*use));
-  auto routers = membership_->liveFronts();
-  toldUse_.beginRelayed(relayTargets(routers, membership_->self(), ++relayTurn_),
-                        std::move(messages), interval * kToldWithin, now);
-  toldUse_.tick(now, outbox_);
+  auto routers = membership_->liveRouters();
+  engineUseBroadcast_.beginRelayed(relayTargets(routers, membership_->self(), ++relayRound_),
+                                   std::move(messages), interval * kBroadcastSendFraction, now);
+  engineUseBroadcast_.tick(now, outbox_);
 }
 
-void RouterNode::tellLinks(MonotonicTime now) {
-  Duration interval = kTell.between(membership_->frontCount());
-  nextTell_ = now + interval;
+void RouterNode::broadcastLinkUsage(MonotonicTime now) {
+  Duration interval = kLinkUsagePace.forMembers(membership_->routerCount());
+  nextLinkBroadcast_ = now + interval;
   std::vector<Message> messages;
-  UsageNotification note = placement_->note(membership_->self().member, now);
-  if (!note.links.empty() || !note.mixes.empty()) messages.emplace_back(std::move(note));
-  auto routers = membership_->liveFronts();
-  told_.beginRelayed(relayTargets(routers, membership_->self(), ++relayTurn_), std::move(messages),
-                     interval * kToldWithin, now);
-  told_.tick(now, outbox_);
+  LinkUsageNotification note = placement_->usageReport(membership_->self().member, now);
+  if (!note.links.empty() || !note.streamMixes.empty()) messages.emplace_back(std::move(note));
+  auto routers = membership_->liveRouters();
+  linkUsageBroadcast_.beginRelayed(relayTargets(routers, membership_->self(), ++relayRound_),
+                                   std::move(messages), interval * kBroadcastSendFraction, now);
+  linkUsageBroadcast_.tick(now, outbox_);
 }
 
 /// Relays a message from a router in another zone to the routers of this zone.
 template <class Note>
-void RouterNode::passOn(Note note, MonotonicTime now) {
+void RouterNode::relayToZone(Note note, MonotonicTime now) {
   note.relay = false;
   outbox_.count("notes.relayed");
   std::vector<Message> messages;
   messages.emplace_back(std::move(note));
-  relayed_.begin(zonePeers(membership_->liveFronts(), membership_->self()), std::move(messages),
-                 kRelaySpan, now);
+  zoneRelay_.begin(zonePeers(membership_->liveRouters(), membership_->self()), std::move(messages),
+                   kRelaySpan, now);
 }
 
-void RouterNode::arrived(const Arrived& event, MonotonicTime now) {
+void RouterNode::handleMessage(const MessageReceived& event, MonotonicTime now) {
   const Address& from = event.from;
   const Message& message = event.message;
   if (auto* shuffle = std::get_if<Shuffle>(&message)) {
-    for (const auto& digest : shuffle->withdrawn) follower_->withdraw(digest, outbox_);
-    membership_->hear(*shuffle, now, outbox_);
-  } else if (auto* news = std::get_if<StateRequest>(&message)) {
-    outbox_.send(from, follower_->relay(*news, now));
-  } else if (auto* answer = std::get_if<StateReply>(&message)) {
-    follower_->hear(from, *answer, now, outbox_);
-    takeChanges(now);  // applied at once, so that each change of named weights keeps its own time
-  } else if (auto* change = std::get_if<ChangeReply>(&message)) {
-    operatorHandler_->hear(*change, now, outbox_);
-  } else if (auto* roster = std::get_if<DiscoveredEnginesUpdate>(&message)) {
-    lister_->hear(from, *roster, now, outbox_);
-    takeList(now);
-  } else if (auto* rosterAsk = std::get_if<DiscoveredEnginesRequest>(&message)) {
-    lister_->hear(from, *rosterAsk, now, outbox_);
-  } else if (auto* parts = std::get_if<PrefixBlockUpdate>(&message)) {
-    watch_->hear(from, *parts, now, outbox_);
-  } else if (auto* partAsk = std::get_if<PrefixBlockRequest>(&message)) {
-    watch_->hear(from, *partAsk, now, outbox_);
-  } else if (auto* use = std::get_if<EngineUse>(&message)) {
-    if (use->relay) passOn(*use, now);
-    book_->hear(*use, now);
-  } else if (auto* trouble = std::get_if<EngineTrouble>(&message)) {
-    book_->hear(from, *trouble, now);
-  } else if (auto* usage = std::get_if<UsageNotification>(&message)) {
-    if (usage->relay) passOn(*usage, now);
-    placement_->hear(*usage, now);
+    for (const auto& digest : shuffle->withdrawn) follower_->withdrawKey(digest, outbox_);
+    membership_->handle(*shuffle, now, outbox_);
+  } else if (auto* stateRequest = std::get_if<StateRequest>(&message)) {
+    outbox_.send(from, follower_->relayReply(*stateRequest, now));
+  } else if (auto* stateReply = std::get_if<StateReply>(&message)) {
+    follower_->handle(from, *stateReply, now, outbox_);
+    applyControlState(
+        now);  // applied at once, so that each change of named weights keeps its own time
+  } else if (auto* changeReply = std::get_if<ChangeReply>(&message)) {
+    operatorHandler_->handleReply(*changeReply, now, outbox_);
+  } else if (auto* enginesUpdate = std::get_if<DiscoveredEnginesUpdate>(&message)) {
+    lister_->handle(from, *enginesUpdate, now, outbox_);
+    applyEngineList(now);
+  } else if (auto* enginesRequest = std::get_if<DiscoveredEnginesRequest>(&message)) {
+    lister_->handle(from, *enginesRequest, now, outbox_);
+  } else if (auto* blockUpdate = std::get_if<PrefixBlockUpdate>(&message)) {
+    watch_->handle(from, *blockUpdate, now, outbox_);
+  } else if (auto* blockRequest = std::get_if<PrefixBlockRequest>(&message)) {
+    watch_->handle(from, *blockRequest, now, outbox_);
+  } else if (auto* use = std::get_if<EngineUsageNotification>(&message)) {
+    if (use->relay) relayToZone(*use, now);
+    book_->handle(*use, now);
+  } else if (auto* trouble = std::get_if<EngineFailureReport>(&message)) {
+    book_->handle(from, *trouble, now);
+  } else if (auto* usage = std::get_if<LinkUsageNotification>(&message)) {
+    if (usage->relay) relayToZone(*usage, now);
+    placement_->handle(*usage, now);
   } else if (std::holds_alternative<ReadLeaderNotification>(message)) {
     follower_->noteReadOnlyLeader(from, now, outbox_);
   } else {
@@ -202,12 +209,12 @@
   }
 }
 
-void RouterNode::operatorAsked(const OperatorRequest& asked, MonotonicTime now) {
-  if (asked.path == "/status") {
-    outbox_.push(
-        AnswerWeb{asked.ticket, 200, {{"Content-Type", "application/json"}}, status(now).dump()});
-  } else if (!operatorHandler_->take(asked, now, outbox_)) {
-    outbox_.push(AnswerWeb{asked.ticket, 404, {}, R"({"outcome":"no-such-page"})"});
+void RouterNode::handleOperatorRequest(const OperatorRequest& request, MonotonicTime now) {
+  if (request.path == "/status") {
+    outbox_.push(AnswerHttp{
+        request.ticket, 200, {{"Content-Type", "application/json"}}, status(now).dump()});
+  } else if (!operatorHandler_->handle(request, now, outbox_)) {
+    outbox_.push(AnswerHttp{request.ticket, 404, {}, R"({"outcome":"no-such-page"})"});
   }
 }
 
@@ -220,13 +227,13 @@
 }
 
 bool RouterNode::ready(MonotonicTime now) const {
-  return drainSince_ == kForever && follower_->setup().fleet.version.value != 0 &&
-         follower_->fresh(now) && book_->size() > 0;
+  return drainingSince_ == kForever && follower_->setup().fleetConfig.version.value != 0 &&
+         follower_->isFresh(now) && book_->size() > 0;
 }
 
 bool RouterNode::drained(MonotonicTime now) const {
   // The load balancer takes some health checks to notice the draining; requests arrive until then.
-  return drainSince_ != kForever && now - drainSince_ > kNoticed;
+  return drainingSince_ != kForever && now - drainingSince_ > kDrainNoticeTime;
 }
 
 Json RouterNode::status(MonotonicTime now) const {
@@ -237,17 +244,17 @@
           {"address", membership_->self().address.value},
           {"district", membership_->self().zone.value},
           {"ready", ready(now)},
-          {"fresh", follower_->fresh(now)},
-          {"proofFrom", follower_->attestedBy(now)},
+          {"fresh", follower_->isFresh(now)},
+          {"proofFrom", follower_->proofSource(now)},
           {"proofAgeMilliseconds", inMilliseconds(follower_->proofAge(now))},
-          {"sections", toJson(follower_->have())},
-          {"configVersion", follower_->setup().fleet.version.value},
+          {"sections", toJson(follower_->installedVersions())},
+          {"configVersion", follower_->setup().fleetConfig.version.value},
           {"engineList", lister_->version().value},
-          {"engineListAgeMilliseconds", inMilliseconds(now - lister_->seen())},
+          {"engineListAgeMilliseconds", inMilliseconds(now - lister_->confirmedAt())},
           {"engines", book_->size()},
-          {"members", membership_->live().size()},
-          {"requests", requests_->live()},
-          {"draining", drainSince_ != kForever},
+          {"members", membership_->liveMembers().size()},
+          {"requests", requestRouter_->activeRequests()},
+          {"draining", drainingSince_ != kForever},
           {"keptParts", index_.size()},
           {"counters", counters}};
 }
--- a/src/requests/router_node.h
+++ b/src/requests/router_node.h
@@ -34,23 +34,23 @@
   bool ready(MonotonicTime now) const;
   /// Accessors for checkers, tests and the platform.
   const Follower& follower() const { return *follower_; }
-  const EngineBook& book() const { return *book_; }
-  const PartIndex& index() const { return index_; }
-  std::size_t live() const { return requests_->live(); }
+  const EngineRegistry& book() const { return *book_; }
+  const PrefixBlockIndex& index() const { return index_; }
+  std::size_t activeRequests() const { return requestRouter_->activeRequests(); }
 
  private:
   void tick(MonotonicTime now);
-  void arrived(const Arrived& event, MonotonicTime now);
-  bool answered(const Event& event, MonotonicTime now);
-  void takeList(MonotonicTime now);
-  void takeChanges(MonotonicTime now);
-  void tellOthers(MonotonicTime now);
-  void tellUse(MonotonicTime now);
-  void tellLinks(MonotonicTime now);
-  void noteCoreTrouble(MonotonicTime now);
+  void handleMessage(const MessageReceived& event, MonotonicTime now);
+  bool handleReply(const Event& event, MonotonicTime now);
+  void applyEngineList(MonotonicTime now);
+  void applyControlState(MonotonicTime now);
+  void broadcastUsage(MonotonicTime now);
+  void broadcastEngineUse(MonotonicTime now);
+  void broadcastLinkUsage(MonotonicTime now);
+  void detectControlOutage(MonotonicTime now);
   template <class Note>
-  void passOn(Note note, MonotonicTime now);
-  void operatorAsked(const OperatorRequest& asked, MonotonicTime now);
+  void relayToZone(Note note, MonotonicTime now);
+  void handleOperatorRequest(const OperatorRequest& request, MonotonicTime now);
 
   Options options_;
   Random random_;
@@ -58,22 +58,22 @@
   std::unique_ptr<Membership> membership_;
   std::unique_ptr<Follower> follower_;
   std::unique_ptr<OperatorHandler> operatorHandler_;
-  std::unique_ptr<Lister> lister_;
-  std::unique_ptr<EngineBook> book_;
-  PartIndex index_;
-  std::unique_ptr<PartWatch> watch_;
-  std::unique_ptr<FetchDesk> fetches_;
+  std::unique_ptr<EngineDiscovery> lister_;
+  std::unique_ptr<EngineRegistry> book_;
+  PrefixBlockIndex index_;
+  std::unique_ptr<PrefixCacheWatcher> watch_;
+  std::unique_ptr<FetchPlanner> fetches_;
   std::unique_ptr<Placement> placement_;
-  std::unique_ptr<FollowerFacts> facts_;
-  std::unique_ptr<Requests> requests_;
-  std::uint64_t changesSeen_ = 0;
-  LeaderSilence leaderSilence_;
-  CoreLives coreLives_;
-  ListVersion bookVersion_;
-  MonotonicTime nextTell_{}, nextTellUse_{}, drainSince_ = kForever;
-  std::uint64_t relayTurn_ = 0;
-  SpreadBroadcast relayed_{kRelayPortion};  // messages of routers in other zones
-  SpreadBroadcast toldUse_, told_;          // to all other routers
+  std::unique_ptr<FollowerStateView> fleetState_;
+  std::unique_ptr<RequestRouter> requestRouter_;
+  std::uint64_t appliedChanges_ = 0;
+  LeaderOutage leaderOutage_;
+  ControlRestartDetector controlRestarts_;
+  ListVersion appliedListVersion_;
+  MonotonicTime nextLinkBroadcast_{}, nextEngineUseBroadcast_{}, drainingSince_ = kForever;
+  std::uint64_t relayRound_ = 0;
+  SpreadBroadcast zoneRelay_{kRelayPortion};                 // messages of routers in other zones
+  SpreadBroadcast engineUseBroadcast_, linkUsageBroadcast_;  // to all other routers
 };
 
 }  // namespace peppergate
