--- a/src/sim/batch_engine.h
+++ b/src/sim/batch_engine.h
@@ -17,19 +17,19 @@
 /// Capacity, speed and fault rates of an engine.
 struct BatchOptions {
   std::int64_t slots = 32;
-  std::int64_t queue = 96;
+  std::int64_t queueLimit = 96;
   std::int64_t kvTokens = 300'000;
-  double tokensPerMs = 150;
-  Duration firstStep = milliseconds(26);
-  Duration step = milliseconds(5);   // time per output token of a single run
-  Duration stepEach = Duration{50};  // additional time per token for each running request
-  std::int64_t stride = 5;           // tokens per stream event
+  double prefillTokensPerMs = 150;
+  Duration firstEventTime = milliseconds(26);
+  Duration tokenTime = milliseconds(5);     // time per output token of a single run
+  Duration tokenTimePerRun = Duration{50};  // additional time per token for each running request
+  std::int64_t stride = 5;                  // tokens per stream event
   Duration loadTime = seconds(1.1);
   double linkMbps = 370'000;
-  std::int64_t tokenBytes = 18'432;
-  std::size_t eventsKept = 4000;
-  double eventsLost = 0.02;
-  Duration eventsLate = milliseconds(80);
+  std::int64_t kvBytesPerToken = 18'432;
+  std::size_t eventLogCapacity = 4000;
+  double eventLossRate = 0.02;
+  Duration eventDelay = milliseconds(80);
 };
 
 /// One run of a request on the engine.
@@ -39,16 +39,22 @@
   TenantId tenant;
   std::string salt;
   ModelName model;
-  std::vector<PartSize> parts;
+  std::vector<PromptBlock> promptBlocks;
   std::int64_t tokensOut = 0;
-  std::uint64_t next = 1;  // index of the next event, from 1
-  std::uint64_t last = 1;  // index of the last event
+  std::uint64_t nextEvent = 1;  // index of the next event, from 1
+  std::uint64_t lastEvent = 1;  // index of the last event
   bool began = false;
   WeightsVersion version;
 };
 
 /// Whether an engine accepts an attempt, and if not, why.
-enum class BatchVerdict : std::uint8_t { kTaken, kFull, kOtherEngine, kOtherVersion, kLoading };
+enum class BatchAdmission : std::uint8_t {
+  kAccepted,
+  kFull,
+  kWrongEngine,
+  kWrongVersion,
+  kLoading
+};
 
 /// One engine, or a store of prefix blocks. The caller keeps the time and calls `tick`.
 class BatchEngine {
@@ -56,33 +62,34 @@
   BatchEngine(BatchOptions options, EngineId id, std::uint64_t seed);
 
   /// Accepts an attempt and fills `run`, or declines it; a declined attempt has not run.
-  BatchVerdict take(const OpenAttempt& attempt, const RequestArrived& request, MonotonicTime now,
-                    BatchRun& run);
+  BatchAdmission admit(const OpenAttempt& attempt, const RequestArrived& request, MonotonicTime now,
+                       BatchRun& run);
   /// The time until the run's first event. Each prefix block is computed, fetched from `source` or
   /// found in the cache.
-  Duration read(const BatchRun& run, BatchEngine* source, double distance, MonotonicTime now);
+  Duration prefill(const BatchRun& run, BatchEngine* source, double distance, MonotonicTime now);
   /// The time between two events of one run.
-  Duration pace() const;
+  Duration eventInterval() const;
   /// Called with the first event of a run: from now on the request has run.
-  void began(const BatchRun& run, MonotonicTime now);
+  void recordFirstEvent(const BatchRun& run, MonotonicTime now);
   /// A run completed, failed or was cancelled.
-  void ended(const BatchRun& run);
+  void endRun(const BatchRun& run);
   /// Caches prefix blocks, evicting the least recently used ones; also how a store receives blocks.
-  void keep(const std::string& salt, const ModelName& model, std::span<const PartSize> parts,
-            WeightsVersion madeUnder, const std::string& tenant, MonotonicTime now);
+  void insertBlocks(const std::string& salt, const ModelName& model,
+                    std::span<const PromptBlock> blocks, WeightsVersion version,
+                    const std::string& tenant, MonotonicTime now);
   /// The length in tokens of a prompt's cached prefix.
-  std::int64_t kept(const std::string& salt, std::span<const PartSize> parts) const;
-  OrderOutcome order(const OrderWeights& order, bool fenced, MonotonicTime now);
+  std::int64_t cachedTokens(const std::string& salt, std::span<const PromptBlock> blocks) const;
+  LoadOrderOutcome handleLoadOrder(const OrderWeightsLoad& order, bool fenced, MonotonicTime now);
   /// Whether the current load aborts running requests.
-  bool cuts() const { return loading() && cuts_; }
+  bool loadAbortsRuns() const { return loading() && loadAbortsRuns_; }
   /// Sets the tenants that share no prefix block with others; each cache hit is checked.
-  void isolate(std::set<std::string> tenants) { isolated_ = std::move(tenants); }
+  void setIsolatedTenants(std::set<std::string> tenants) { isolatedTenants_ = std::move(tenants); }
   /// For faults that change the options during a run.
   BatchOptions& options() { return options_; }
   /// Completes a load that is due, once no run is left.
   void tick(MonotonicTime now);
-  PartsPolled poll(std::uint64_t since, MonotonicTime now) const;
-  PartsListed list(MonotonicTime now) const;
+  PrefixBlocksPolled pollBlocks(std::uint64_t since, MonotonicTime now) const;
+  PrefixBlocksListed listBlocks(MonotonicTime now) const;
   EngineReport report() const;
   EngineLoad load() const { return {running_, waiting_, options_.slots}; }
   /// Restarts the process with a new id and an empty cache; the weights versions stay.
@@ -92,54 +99,54 @@
 
   const EngineId& id() const { return id_; }
   const std::map<ModelName, WeightsVersion>& models() const { return models_; }
-  bool loading() const { return loadEnds_ != kForever; }
+  bool loading() const { return loadEndsAt_ != kForever; }
   const BatchOptions& options() const { return options_; }
   /// How often each client id's request began to run here.
-  const std::map<std::string, int>& beganIds() const { return beganIds_; }
+  const std::map<std::string, int>& startedIds() const { return startedIds_; }
   /// Counts of broken rules by kind.
   const std::map<std::string, std::uint64_t>& violations() const { return violations_; }
-  std::int64_t tokensRead() const { return tokensRead_; }
-  std::int64_t tokensMoved() const { return tokensMoved_; }
-  std::int64_t orders() const { return static_cast<std::int64_t>(orderCount_); }
+  std::int64_t computedTokens() const { return computedTokens_; }
+  std::int64_t transferredTokens() const { return transferredTokens_; }
+  std::int64_t orderCount() const { return static_cast<std::int64_t>(orderCount_); }
 
  private:
-  struct Kept {
+  struct CachedBlock {
     std::int64_t tokens = 0;
     ModelName model;
-    WeightsVersion madeUnder;
+    WeightsVersion version;
     std::string tenant;
-    MonotonicTime used;
-    std::list<std::string>::iterator place;
+    MonotonicTime lastUsed;
+    std::list<std::string>::iterator lruPosition;
   };
-  void note(bool kept, const std::string& key, std::int64_t tokens, const ModelName& model,
-            MonotonicTime now);
-  void allowElection(std::int64_t tokens, MonotonicTime now);
-  void found(const Kept& part, const BatchRun& run);
+  void recordChange(bool cached, const std::string& key, std::int64_t tokens,
+                    const ModelName& model, MonotonicTime now);
+  void evictFor(std::int64_t tokens, MonotonicTime now);
+  void checkCacheHit(const CachedBlock& block, const BatchRun& run);
 
   BatchOptions options_;
   EngineId id_;
   Random random_;
   std::map<ModelName, WeightsVersion> models_;
-  std::unordered_map<std::string, Kept> parts_;  // by salt, line feed and block id
-  std::list<std::string> byUse_;                 // least recently used first
-  std::int64_t keptTokens_ = 0, runningTokens_ = 0, running_ = 0, waiting_ = 0;
-  MonotonicTime readFree_{}, linkFree_{};
-  struct Told {
-    PartChange change;
-    MonotonicTime at;
+  std::unordered_map<std::string, CachedBlock> blocks_;  // by salt, line feed and block id
+  std::list<std::string> lru_;                           // least recently used first
+  std::int64_t cachedTokens_ = 0, runningTokens_ = 0, running_ = 0, waiting_ = 0;
+  MonotonicTime prefillFreeAt_{}, linkFreeAt_{};
+  struct LoggedChange {
+    PrefixBlockChange change;
+    MonotonicTime visibleAt;
   };
-  std::deque<Told> told_;
-  std::uint64_t epoch_ = 1, nextNumber_ = 1, nextRun_ = 1, orderCount_ = 0, fence_ = 0;
-  std::string holder_;
-  MonotonicTime orderedAt_ = kNever;
-  ModelName loadModel_;
-  WeightsVersion loadVersion_;
-  MonotonicTime loadEnds_ = kForever;
-  bool cuts_ = false;
-  std::set<std::string> isolated_;
-  std::map<std::string, int> beganIds_;
+  std::deque<LoggedChange> changeLog_;
+  std::uint64_t epoch_ = 1, nextSequence_ = 1, nextRun_ = 1, orderCount_ = 0, fencingToken_ = 0;
+  std::string leaseHolder_;
+  MonotonicTime lastOrderAt_ = kNever;
+  ModelName loadingModel_;
+  WeightsVersion loadingVersion_;
+  MonotonicTime loadEndsAt_ = kForever;
+  bool loadAbortsRuns_ = false;
+  std::set<std::string> isolatedTenants_;
+  std::map<std::string, int> startedIds_;
   std::map<std::string, std::uint64_t> violations_;
-  std::int64_t tokensRead_ = 0, tokensMoved_ = 0;
+  std::int64_t computedTokens_ = 0, transferredTokens_ = 0;
 };
 
 }  // namespace peppergate
--- a/src/sim/callers.h
+++ b/src/sim/callers.h
@@ -13,7 +13,7 @@
 class World;
 struct SimProcess;
 
-enum class CallerEnd : std::uint8_t { kOpen, kWhole, kCut, kDeclined, kLost };
+enum class CallerEnd : std::uint8_t { kOpen, kComplete, kTruncated, kDeclined, kLost };
 
 /// One stream as its client sees it, over all its attempts.
 struct CallerStream {
@@ -22,19 +22,19 @@
   std::string firstHost;
   std::string key;
   std::string tenant;
-  std::vector<std::string> texts;
+  std::vector<std::string> promptTexts;
   bool unary = false;
   bool resumable = false;
   std::uint64_t pieces = 8;
-  std::uint64_t next = 0;
+  std::uint64_t nextPiece = 0;
   std::uint64_t weights = 0;
   std::string requestId;
-  std::string run;                      // identifier of the engine's run that sent its pieces
-  std::vector<std::string> toldNotRun;  // request ids that were reported as not run
-  MonotonicTime asked, deadline, first = kForever, ended = kForever;
+  std::string runId;                        // identifier of the engine's run that sent its pieces
+  std::vector<std::string> reportedNotRun;  // request ids that were reported as not run
+  MonotonicTime requestedAt, deadline, firstEventAt = kForever, endedAt = kForever;
   CallerEnd end = CallerEnd::kOpen;
-  std::string kind;
-  int tries = 1;
+  std::string endKind;
+  int attempts = 1;
   bool resumed = false;
 };
 
@@ -44,15 +44,15 @@
   explicit Callers(World& world);
   /// Sends the streams that are due. Called every tick of the world.
   void tick();
-  void started(const StartAnswer& answer);
-  void piece(const SendPiece& piece);
-  void ended(const EndAnswer& answer);
-  void declined(const DeclineStream& answer);
+  void handleStart(const StartStreamAnswer& answer);
+  void handlePiece(const SendPiece& piece);
+  void handleEnd(const EndStreamAnswer& answer);
+  void handleDecline(const DeclineStream& answer);
   /// The process of a router ended: its open streams break.
-  void lost(const std::string& host);
+  void handleRouterExit(const std::string& host);
   /// Multiplies the request rate by a factor.
-  void traffic(double factor) { factor_ = factor; }
-  const std::string& flooding() const { return floodTenant_; }
+  void setTrafficFactor(double factor) { trafficFactor_ = factor; }
+  const std::string& floodingTenant() const { return floodTenant_; }
   /// Adds a number of streams per second of one tenant.
   void flood(const std::string& tenant, double rate);
   const std::map<std::uint64_t, CallerStream>& streams() const { return streams_; }
@@ -60,7 +60,7 @@
   static std::string keyOf(const std::string& tenant) { return exampleKey(tenant); }
 
  private:
-  void sendOne(const std::string& onlyTenant);
+  void startStream(const std::string& onlyTenant);
   void send(CallerStream& stream);
   void resume(CallerStream& stream);
   CallerStream* find(StreamId stream);
@@ -68,12 +68,12 @@
   World& world_;
   Random random_;
   std::map<std::uint64_t, CallerStream> streams_;
-  std::map<StreamId, std::uint64_t> byAsk_;  // each attempt has an id of its own
-  std::uint64_t lastAsk_ = 0;
-  double factor_ = 1;
-  double due_ = 0, floodDue_ = 0, floodRate_ = 0;
+  std::map<StreamId, std::uint64_t> streamIdsByAttempt_;  // each attempt has an id of its own
+  std::uint64_t lastAttemptId_ = 0;
+  double trafficFactor_ = 1;
+  double dueStreams_ = 0, dueFloodStreams_ = 0, floodRate_ = 0;
   std::string floodTenant_;
-  MonotonicTime last_{};
+  MonotonicTime lastTickAt_{};
 };
 
 }  // namespace peppergate
--- a/src/sim/checker.cc
+++ b/src/sim/checker.cc
@@ -9,7 +9,7 @@
 namespace peppergate {
 namespace {
 
-double rungCount(const World& world, const std::string& name) {
+double counterSum(const World& world, const std::string& name) {
   double count = 0;
   for (auto& process : const_cast<World&>(world).processes())
     if (process->alive) {
@@ -23,71 +23,71 @@
 }  // namespace
 
 void Checker::fail(const std::string& what) {
-  if (++never_[what] == 1)
+  if (++violationCounts_[what] == 1)
     failures_.push_back("never: " + what + " at " +
                         std::to_string(inSeconds(world_.now() - MonotonicTime{})) + " s");
 }
 
-void Checker::bound(const std::string& name, double value) {
-  double& seen = figures_["bound." + name];
-  seen = std::max(seen, value);
+void Checker::recordMaximum(const std::string& name, double value) {
+  double& maximum = figures_["bound." + name];
+  maximum = std::max(maximum, value);
 }
 
-void Checker::watch() {
-  watchVersions();
-  watchLevels();
+void Checker::checkState() {
+  checkVersions();
+  sampleFetchLevels();
   int leaders = 0;
   for (auto& process : world_.processes()) {
     if (!process->alive || process->frozen || process->role != Role::kCore) continue;
     auto& core = static_cast<CoreNode&>(*process->node);
-    if (core.leadership().leads(process->local(world_.now()))) ++leaders;
+    if (core.leadership().hasLeaderLease(process->localTime(world_.now()))) ++leaders;
   }
   if (leaders > 1) fail("two-primaries");
-  watchVouchers(leaders);
+  checkReadOnlyLeaders(leaders);
   if (leaders > 0) {
-    if (lastPrimary_ != kForever && world_.now() > MonotonicTime{})
-      bound("without-primary", inSeconds(world_.now() - lastPrimary_));
-    lastPrimary_ = world_.now();
+    if (lastLeaderAt_ != kForever && world_.now() > MonotonicTime{})
+      recordMaximum("without-primary", inSeconds(world_.now() - lastLeaderAt_));
+    lastLeaderAt_ = world_.now();
   }
-  primaryAt_.emplace_back(world_.now(), leaders == 1);
+  leaderSamples_.emplace_back(world_.now(), leaders == 1);
 }
 
-void Checker::compareRuns() {
-  std::map<std::string, int> begun;
-  std::set<std::string> began;
-  double firsts[2] = {0, 0}, seconds[2] = {0, 0};
+void Checker::checkEngineRuns() {
+  std::map<std::string, int> startCounts;
+  std::set<std::string> startedIds;
+  double firstAttempts[2] = {0, 0}, secondAttempts[2] = {0, 0};
   for (auto& engine : world_.engines()) {
     for (const auto& [kind, count] : engine->model->violations())
       if (count > 0) fail(kind);
-    for (const auto& id : engine->model->begun())
-      if (++begun[id] > 1) fail("ran-twice");
-    began.insert(engine->model->began().begin(), engine->model->began().end());
+    for (const auto& id : engine->model->startedOnceIds())
+      if (++startCounts[id] > 1) fail("ran-twice");
+    startedIds.insert(engine->model->startedIds().begin(), engine->model->startedIds().end());
     int service = engine->entry.service == Service::kDesk ? 1 : 0;
-    firsts[service] += static_cast<double>(engine->model->firstShots());
-    seconds[service] += static_cast<double>(engine->model->secondShots());
+    firstAttempts[service] += static_cast<double>(engine->model->firstAttemptCount());
+    secondAttempts[service] += static_cast<double>(engine->model->secondAttemptCount());
   }
   for (const auto& [id, stream] : world_.callers().streams())
-    for (const auto& told : stream.toldNotRun)
-      if (began.contains(told)) fail("ran-after-told-no");
+    for (const auto& requestId : stream.reportedNotRun)
+      if (startedIds.contains(requestId)) fail("ran-after-told-no");
   for (auto& engine : world_.engines()) {
-    bound("old-weights-start", inSeconds(engine->model->latestOldStart()));
-    bound("start-while-draining", inSeconds(engine->model->latestDrainedStart()));
-    bound("older-setup-used", inSeconds(engine->model->latestOldWall()));
+    recordMaximum("old-weights-start", inSeconds(engine->model->maxOldWeightsStart()));
+    recordMaximum("start-while-draining", inSeconds(engine->model->maxDrainingStart()));
+    recordMaximum("older-setup-used", inSeconds(engine->model->maxOldDomainStart()));
   }
   double worst = 0;
   for (int service = 0; service < 2; ++service)
-    worst = std::max(worst, seconds[service] / std::max(1.0, firsts[service]));
-  figures_["second-share"] = std::max(worst, slidingShare());
+    worst = std::max(worst, secondAttempts[service] / std::max(1.0, firstAttempts[service]));
+  figures_["second-share"] = std::max(worst, largestSecondAttemptShare());
   if (figures_["second-share"] > 0.2) fail("second-shots-over-a-fifth");
 }
 
-void Checker::acknowledgedStays() {
+void Checker::checkAcknowledgedChanges() {
   // Acknowledged changes must be installed on the routers that are up at the end.
   for (auto& process : world_.processes()) {
-    if (!process->alive || process->frozen || process->role != Role::kFront) continue;
-    if (world_.now() - process->disturbed < seconds(12)) continue;
+    if (!process->alive || process->frozen || process->role != Role::kRouter) continue;
+    if (world_.now() - process->disturbedAt < seconds(12)) continue;
     const Follower& follower = static_cast<FrontNode&>(*process->node).follower();
-    if (!follower.fresh(process->local(world_.now()))) continue;
+    if (!follower.isFresh(process->localTime(world_.now()))) continue;
     for (const auto& change : world_.changes()) {
       if (change.outcome != "done") continue;
       // A complete setup that was applied later replaces tenants that were added before.
@@ -104,17 +104,17 @@
   }
 }
 
-double Checker::served(MonotonicTime from, MonotonicTime to) const {
-  return servedOf(from, to, [](const CallerStream&) { return true; });
+double Checker::servedShare(MonotonicTime from, MonotonicTime to) const {
+  return servedShareOf(from, to, [](const CallerStream&) { return true; });
 }
 
-double Checker::worstRankGap(MonotonicTime from, MonotonicTime to) {
+double Checker::largestRankInversion(MonotonicTime from, MonotonicTime to) {
   // How much better a lower-priority rank was served than a higher one; at most 0 when priorities
   // hold. The last two ranks count as one: the last has too few streams to be significant.
   std::array<double, 3> served{};
   for (std::size_t rank = 0; rank < served.size(); ++rank)
-    served[rank] = servedOf(from, to, [&](const CallerStream& stream) {
-      for (const auto& row : tenantRows(world_.scenario().profile))
+    served[rank] = servedShareOf(from, to, [&](const CallerStream& stream) {
+      for (const auto& row : exampleTenants(world_.scenario().profile))
         if (row.name == stream.tenant)
           return !stream.unary && std::min(row.rank, 2) == static_cast<int>(rank);
       return false;
@@ -128,21 +128,22 @@
 }
 
 double Checker::goodput(MonotonicTime from, MonotonicTime to) const {
-  double whole = 0;
+  double completed = 0;
   for (const auto& [id, stream] : world_.callers().streams())
-    if (stream.end == CallerEnd::kWhole && stream.ended >= from && stream.ended < to) ++whole;
-  return whole / std::max(1.0, inSeconds(to - from));
+    if (stream.end == CallerEnd::kComplete && stream.endedAt >= from && stream.endedAt < to)
+      ++completed;
+  return completed / std::max(1.0, inSeconds(to - from));
 }
 
-double Checker::servedOf(MonotonicTime from, MonotonicTime to,
-                         const std::function<bool(const CallerStream&)>& counts) const {
-  double asked = 0, whole = 0;
+double Checker::servedShareOf(MonotonicTime from, MonotonicTime to,
+                              const std::function<bool(const CallerStream&)>& isCounted) const {
+  double requested = 0, completed = 0;
   for (const auto& [id, stream] : world_.callers().streams()) {
-    if (stream.asked < from || stream.asked >= to || !counts(stream)) continue;
-    ++asked;
-    if (stream.end == CallerEnd::kWhole) ++whole;
+    if (stream.requestedAt < from || stream.requestedAt >= to || !isCounted(stream)) continue;
+    ++requested;
+    if (stream.end == CallerEnd::kComplete) ++completed;
   }
-  return asked > 0 ? whole / asked : 0;
+  return requested > 0 ? completed / requested : 0;
 }
 
 void Checker::finish() {
@@ -150,55 +151,58 @@
     for (auto& process : world_.processes())
       if (process->alive)
         std::fprintf(stderr, "%s %s\n", process->host.c_str(),
-                     process->node->status(process->local(world_.now())).dump().c_str());
-  compareRuns();
-  acknowledgedStays();
-  std::vector<double> firsts;
+                     process->node->status(process->localTime(world_.now())).dump().c_str());
+  checkEngineRuns();
+  checkAcknowledgedChanges();
+  std::vector<double> firstEventSeconds;
   for (const auto& [id, stream] : world_.callers().streams()) {
     if (stream.end == CallerEnd::kOpen) fail("caller-without-answer");
-    if (stream.first != kForever) firsts.push_back(inSeconds(stream.first - stream.asked));
-    ++figures_["end." + (stream.end == CallerEnd::kWhole ? "whole" : stream.kind)];
+    if (stream.firstEventAt != kForever)
+      firstEventSeconds.push_back(inSeconds(stream.firstEventAt - stream.requestedAt));
+    ++figures_["end." + (stream.end == CallerEnd::kComplete ? "whole" : stream.endKind)];
   }
-  std::ranges::sort(firsts);
+  std::ranges::sort(firstEventSeconds);
   auto quantile = [&](double share) {
-    if (firsts.empty()) return 0.0;
-    auto place = static_cast<std::size_t>(share * static_cast<double>(firsts.size() - 1));
-    return firsts[place];
+    if (firstEventSeconds.empty()) return 0.0;
+    auto place =
+        static_cast<std::size_t>(share * static_cast<double>(firstEventSeconds.size() - 1));
+    return firstEventSeconds[place];
   };
   figures_["streams"] = static_cast<double>(world_.callers().streams().size());
   figures_["first-event-median"] = quantile(0.5);
   figures_["first-event-99"] = quantile(0.99);
-  figures_["served"] = served({}, kForever);
-  double fetched = rungCount(world_, "parts.fetched") + rungCount(world_, "parts.kept");
-  double anew = rungCount(world_, "parts.anew");
-  figures_["fetched"] = fetched + anew > 0 ? fetched / (fetched + anew) : 0;
-  figures_["rung-changes"] = rungCount(world_, "fetch.rungChanges");
-  const FetchFigures& fetch = world_.fetchFigures();
+  figures_["served"] = servedShare({}, kForever);
+  double fetched = counterSum(world_, "parts.fetched") + counterSum(world_, "parts.kept");
+  double recomputed = counterSum(world_, "parts.anew");
+  figures_["fetched"] = fetched + recomputed > 0 ? fetched / (fetched + recomputed) : 0;
+  figures_["rung-changes"] = counterSum(world_, "fetch.rungChanges");
+  const FetchStatistics& fetch = world_.fetchStatistics();
   double count = std::max(1.0, fetch.count);
   figures_["fetches"] = fetch.count;
-  figures_["overshoot"] = fetch.over / count;
-  figures_["fetch-excess"] = fetch.excess / count;
-  figures_["fetch-seconds"] = fetch.took / count;
-  figures_["fetch-rate"] = fetch.rates / count;
+  figures_["overshoot"] = fetch.overbookedCount / count;
+  figures_["fetch-excess"] = fetch.excessSum / count;
+  figures_["fetch-seconds"] = fetch.secondsSum / count;
+  figures_["fetch-rate"] = fetch.rateSum / count;
   figures_["level-spread"] = levelSpread_ / std::max(1.0, levelPairs_);
   figures_["level-pairs"] = levelPairs_;
-  std::vector<double> yeses;
+  std::vector<double> acknowledgeSeconds;
   for (const auto& change : world_.changes())
-    if (change.outcome == "done") yeses.push_back(inSeconds(change.done - change.lastAsked));
-  std::ranges::sort(yeses);
-  if (!yeses.empty()) {
-    figures_["yes-median"] = yeses[yeses.size() / 2];
-    figures_["yes-worst"] = yeses.back();
+    if (change.outcome == "done")
+      acknowledgeSeconds.push_back(inSeconds(change.acknowledgedAt - change.lastAttemptAt));
+  std::ranges::sort(acknowledgeSeconds);
+  if (!acknowledgeSeconds.empty()) {
+    figures_["yes-median"] = acknowledgeSeconds[acknowledgeSeconds.size() / 2];
+    figures_["yes-worst"] = acknowledgeSeconds.back();
   }
   figures_["messages"] = static_cast<double>(world_.messages());
-  settles();
-  for (const auto& expectation : world_.scenario().expectations) judge(expectation);
+  checkServedAfterFaults();
+  for (const auto& expectation : world_.scenario().expectations) evaluate(expectation);
 }
 
-double Checker::longestUnled(MonotonicTime from, MonotonicTime to) const {
+double Checker::longestTimeWithoutLeader(MonotonicTime from, MonotonicTime to) const {
   MonotonicTime since = from;
   Duration longest{};
-  for (const auto& [at, has] : primaryAt_) {
+  for (const auto& [at, has] : leaderSamples_) {
     if (at < from || at >= to) continue;
     longest = std::max(longest, at - since);
     if (has) since = at;
@@ -206,8 +210,8 @@
   return inSeconds(longest);
 }
 
-void Checker::judge(const Expectation& expectation) {
-  auto say = [&](const std::string& what, double got) {
+void Checker::evaluate(const Expectation& expectation) {
+  auto reportFailure = [&](const std::string& what, double got) {
     failures_.push_back("line " + std::to_string(expectation.line) + ": " + what + ", got " +
                         std::to_string(got));
   };
@@ -218,109 +222,117 @@
     if (change.outcome == "done") ++done;
     else if (!change.outcome.empty()) ++declined;
   }
-  bool primary = false;
-  for (const auto& [at, has] : primaryAt_)
-    if (at <= (to == kForever ? world_.now() : to)) primary = has;
-  switch (expectation.wanted) {
-    case Wanted::kClean:
+  bool hasLeader = false;
+  for (const auto& [at, has] : leaderSamples_)
+    if (at <= (to == kForever ? world_.now() : to)) hasLeader = has;
+  switch (expectation.kind) {
+    case ExpectationKind::kClean:
       break;  // violated invariants are failures in every scenario
-    case Wanted::kServed:
-      if (double got = served(from, to); got < number) say("too little served", got);
+    case ExpectationKind::kServed:
+      if (double got = servedShare(from, to); got < number) reportFailure("too little served", got);
       break;
-    case Wanted::kServedAtMost:
-      if (double got = served(from, to); got > number) say("too much served", got);
+    case ExpectationKind::kServedAtMost:
+      if (double got = servedShare(from, to); got > number) reportFailure("too much served", got);
       break;
-    case Wanted::kDone:
-      if (done != number) say("changes done", done);
+    case ExpectationKind::kDone:
+      if (done != number) reportFailure("changes done", done);
       break;
-    case Wanted::kDeclined:
-      if (declined != number) say("changes declined", declined);
+    case ExpectationKind::kDeclined:
+      if (declined != number) reportFailure("changes declined", declined);
       break;
-    case Wanted::kFetched:
-      if (figures_["fetched"] < number) say("too little fetched", figures_["fetched"]);
+    case ExpectationKind::kFetched:
+      if (figures_["fetched"] < number) reportFailure("too little fetched", figures_["fetched"]);
       break;
-    case Wanted::kFirstEvent:
-      if (figures_["first-event-99"] > number) say("first events late", figures_["first-event-99"]);
+    case ExpectationKind::kFirstEvent:
+      if (figures_["first-event-99"] > number)
+        reportFailure("first events late", figures_["first-event-99"]);
       break;
-    case Wanted::kPrimary:
-      if (!primary) say("no primary", 0);
+    case ExpectationKind::kPrimary:
+      if (!hasLeader) reportFailure("no primary", 0);
       break;
-    case Wanted::kNoPrimary:
-      if (primary) say("a primary", 1);
+    case ExpectationKind::kNoPrimary:
+      if (hasLeader) reportFailure("a primary", 1);
       break;
-    case Wanted::kShare:
-      if (figures_["second-share"] > number) say("second shots", figures_["second-share"]);
+    case ExpectationKind::kSecondShare:
+      if (figures_["second-share"] > number)
+        reportFailure("second shots", figures_["second-share"]);
       break;
-    case Wanted::kRungPace:
-      if (figures_["rung-changes"] > number) say("rung changes", figures_["rung-changes"]);
+    case ExpectationKind::kRungChanges:
+      if (figures_["rung-changes"] > number)
+        reportFailure("rung changes", figures_["rung-changes"]);
       break;
-    case Wanted::kBytes: {
-      auto bytes = static_cast<double>(world_.bytesAt(from, to));
-      if (bytes > number) say("bytes after the heal", bytes);
+    case ExpectationKind::kHealBytes: {
+      auto bytes = static_cast<double>(world_.bytesBetween(from, to));
+      if (bytes > number) reportFailure("bytes after the heal", bytes);
       break;
     }
-    case Wanted::kRanks:
-      if (double gap = worstRankGap(from, to); gap > number)
-        say("a worse rank was better served", gap);
+    case ExpectationKind::kRanks:
+      if (double gap = largestRankInversion(from, to); gap > number)
+        reportFailure("a worse rank was better served", gap);
       break;
-    case Wanted::kOthers: {
-      double got = servedOf(from, to, [&](const CallerStream& stream) {
-        return stream.tenant != world_.callers().flooding();
+    case ExpectationKind::kOtherTenantsServed: {
+      double got = servedShareOf(from, to, [&](const CallerStream& stream) {
+        return stream.tenant != world_.callers().floodingTenant();
       });
-      if (got < number) say("the others were too little served", got);
+      if (got < number) reportFailure("the others were too little served", got);
       break;
     }
-    case Wanted::kGoodput:
-      if (double got = goodput(from, to); got < number) say("goodput", got);
+    case ExpectationKind::kGoodput:
+      if (double got = goodput(from, to); got < number) reportFailure("goodput", got);
       break;
-    case Wanted::kEachFront:
-      if (double got = leastFront(from, to); got < number) say("a front served too little", got);
+    case ExpectationKind::kEachFrontServed:
+      if (double got = lowestRouterShare(from, to); got < number)
+        reportFailure("a front served too little", got);
       break;
-    case Wanted::kVouched:
-    case Wanted::kNotVouched: {
-      bool attested = false;
-      for (const auto& [at, has] : vouchedAt_)
-        if (at <= (to == kForever ? world_.now() : to)) attested = has;
-      if (attested != (expectation.wanted == Wanted::kVouched))
-        say("a caretaker vouching", attested);
+    case ExpectationKind::kVouched:
+    case ExpectationKind::kNotVouched: {
+      bool hasReadOnlyLeader = false;
+      for (const auto& [at, has] : readOnlyLeaderSamples_)
+        if (at <= (to == kForever ? world_.now() : to)) hasReadOnlyLeader = has;
+      if (hasReadOnlyLeader != (expectation.kind == ExpectationKind::kVouched))
+        reportFailure("a caretaker vouching", hasReadOnlyLeader);
       break;
     }
-    case Wanted::kDeclinedAs: {
+    case ExpectationKind::kDeclinedAs: {
       double count = 0;
       for (const auto& change : world_.changes())
         if (change.outcome == expectation.word) ++count;
-      if (count != number) say("changes with outcome " + expectation.word, count);
+      if (count != number) reportFailure("changes with outcome " + expectation.word, count);
       break;
     }
-    case Wanted::kLevelSpread:
-      if (figures_["level-spread"] > number) say("levels differ", figures_["level-spread"]);
+    case ExpectationKind::kLevelSpread:
+      if (figures_["level-spread"] > number)
+        reportFailure("levels differ", figures_["level-spread"]);
       break;
-    case Wanted::kYes:
-      if (figures_["yes-median"] > number) say("time to a yes", figures_["yes-median"]);
+    case ExpectationKind::kMedianAcknowledgement:
+      if (figures_["yes-median"] > number) reportFailure("time to a yes", figures_["yes-median"]);
       break;
-    case Wanted::kCut:
-      if (figures_["end.stale"] > number) say("streams stale", figures_["end.stale"]);
+    case ExpectationKind::kStaleStreams:
+      if (figures_["end.stale"] > number) reportFailure("streams stale", figures_["end.stale"]);
       break;
-    case Wanted::kAcknowledged:
+    case ExpectationKind::kAcknowledgedWithin:
       for (const auto& change : world_.changes()) {
-        if (change.asked < from || change.asked >= to) continue;
-        Duration took = (change.done == kForever ? world_.now() : change.done) - change.asked;
-        bound("acknowledged", inSeconds(took));
-        if (inSeconds(took) > number) say("a change waited for its yes", inSeconds(took));
+        if (change.requestedAt < from || change.requestedAt >= to) continue;
+        Duration elapsed =
+            (change.acknowledgedAt == kForever ? world_.now() : change.acknowledgedAt) -
+            change.requestedAt;
+        recordMaximum("acknowledged", inSeconds(elapsed));
+        if (inSeconds(elapsed) > number)
+          reportFailure("a change waited for its yes", inSeconds(elapsed));
       }
       break;
-    case Wanted::kLed: {
-      double longest = longestUnled(from, to);
+    case ExpectationKind::kLedWithin: {
+      double longest = longestTimeWithoutLeader(from, to);
       figures_["unled"] = std::max(figures_["unled"], longest);
-      if (longest > number) say("without a primary", longest);
+      if (longest > number) reportFailure("without a primary", longest);
       break;
     }
-    case Wanted::kTaken:
-    case Wanted::kVersions:
-    case Wanted::kKept:
+    case ExpectationKind::kAcknowledgedCount:
+    case ExpectationKind::kLoadOrders:
+    case ExpectationKind::kComputedTokensPerRun:
       break;  // expected only of the other interface's scenarios
-    case Wanted::kOvershoot:
-      if (figures_["overshoot"] > number) say("links overshot", figures_["overshoot"]);
+    case ExpectationKind::kOvershoot:
+      if (figures_["overshoot"] > number) reportFailure("links overshot", figures_["overshoot"]);
       break;
   }
 }
--- a/src/sim/event_queue.cc
+++ b/src/sim/event_queue.cc
@@ -5,10 +5,10 @@
 
 namespace peppergate {
 
-void EventQueue::every(Duration period, std::function<void()> what) {
-  after(period, [this, period, what = std::move(what)]() mutable {
-    what();
-    every(period, std::move(what));
+void EventQueue::scheduleEvery(Duration period, std::function<void()> action) {
+  scheduleAfter(period, [this, period, action = std::move(action)]() mutable {
+    action();
+    scheduleEvery(period, std::move(action));
   });
 }
 
@@ -17,7 +17,7 @@
   Item item = queue_.top();
   queue_.pop();
   now_ = std::max(now_, item.at);
-  item.what();
+  item.action();
   return true;
 }
 
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -16,14 +16,16 @@
 
   MonotonicTime now() const { return now_; }
   /// Schedules an action after a delay.
-  void after(Duration delay, std::function<void()> what) { at(now_ + delay, std::move(what)); }
+  void scheduleAfter(Duration delay, std::function<void()> action) {
+    scheduleAt(now_ + delay, std::move(action));
+  }
   /// Schedules an action at a time. If that time has passed, it runs next, after the current
   /// action.
-  void at(MonotonicTime time, std::function<void()> what) {
-    queue_.push({time, ++arranged_, std::move(what)});
+  void scheduleAt(MonotonicTime time, std::function<void()> action) {
+    queue_.push({time, ++scheduledCount_, std::move(action)});
   }
   /// Schedules a periodic action; it runs for the first time after one period.
-  void every(Duration period, std::function<void()> what);
+  void scheduleEvery(Duration period, std::function<void()> action);
   /// Runs the next action; returns false if there is none.
   bool runNext();
   /// Runs actions until the time is `end` or later.
@@ -32,15 +34,15 @@
  private:
   struct Item {
     MonotonicTime at;
-    std::uint64_t order;
-    std::function<void()> what;
+    std::uint64_t sequence;
+    std::function<void()> action;
     bool operator<(const Item& other) const {
-      return at != other.at ? at > other.at : order > other.order;
+      return at != other.at ? at > other.at : sequence > other.sequence;
     }
   };
 
   MonotonicTime now_;
-  std::uint64_t arranged_ = 0;
+  std::uint64_t scheduledCount_ = 0;
   std::priority_queue<Item> queue_;
 };
 
--- a/src/sim/hollow_measures.cc
+++ b/src/sim/hollow_measures.cc
@@ -10,15 +10,15 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kStep = milliseconds(50);
+constexpr Duration kPollInterval = milliseconds(50);
 
 /// Runs until the condition holds; returns the seconds it took, or nullopt after the time limit.
 template <class Condition>
-std::optional<double> runUntil(HollowFleet& fleet, Duration bound, Condition condition) {
+std::optional<double> runUntil(MeasurementFleet& fleet, Duration bound, Condition condition) {
   MonotonicTime from = fleet.now();
   while (!condition()) {
     if (fleet.now() - from >= bound) return std::nullopt;
-    fleet.run(kStep);
+    fleet.run(kPollInterval);
   }
   return inSeconds(fleet.now() - from);
 }
@@ -31,166 +31,179 @@
   return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-std::string basedOn(const HollowFleet& fleet, std::size_t front) {
-  return versionText(fleet.member(front).have.setup);
+std::string basedOn(const MeasurementFleet& fleet, std::size_t router) {
+  return versionText(fleet.member(router).installedVersions.setup);
 }
 
 /// The costs of all members since its construction, averaged by role.
 class RoleCosts {
  public:
-  explicit RoleCosts(const HollowFleet& fleet) {
+  explicit RoleCosts(const MeasurementFleet& fleet) {
     for (std::size_t index = 0; index < fleet.size(); ++index) before_.push_back(fleet.cost(index));
   }
-  Json since(const HollowFleet& fleet, double span) const {
+  Json averagesSince(const MeasurementFleet& fleet, double span) const {
     struct Sum {
       double members = 0, messages = 0, bytes = 0, messagesIn = 0, bytesIn = 0, micros = 0;
-      double tick = 0, webCalls = 0, webBytes = 0, worst = 0;
+      double tick = 0, httpCalls = 0, httpBytes = 0, worst = 0;
     };
     std::map<std::string, Sum> sums;
-    auto primary = fleet.primary();
-    auto backups = fleet.backups();
+    auto leader = fleet.leaderIndex();
+    auto backups = fleet.backupIndices();
     for (std::size_t index = 0; index < fleet.size(); ++index) {
-      const HollowCost& now = fleet.cost(index);
-      const HollowCost& then = before_[index];
+      const MemberCost& now = fleet.cost(index);
+      const MemberCost& then = before_[index];
       bool core = fleet.member(index).role == Role::kCore;
       bool backup = std::ranges::find(backups, index) != backups.end();
-      Sum& sum = sums[!core              ? "front"
-                      : index == primary ? "primary"
-                      : backup           ? "backup"
-                                         : "witness"];
+      Sum& sum = sums[!core             ? "front"
+                      : index == leader ? "primary"
+                      : backup          ? "backup"
+                                        : "witness"];
       ++sum.members;
       for (std::size_t kind = 0; kind < kMessageKinds; ++kind) {
-        sum.messages += static_cast<double>(now.messages[kind] - then.messages[kind]);
-        sum.bytes += static_cast<double>(now.bytes[kind] - then.bytes[kind]);
+        sum.messages += static_cast<double>(now.messagesOut[kind] - then.messagesOut[kind]);
+        sum.bytes += static_cast<double>(now.bytesOut[kind] - then.bytesOut[kind]);
       }
       sum.messagesIn += static_cast<double>(now.messagesIn - then.messagesIn);
       sum.bytesIn += static_cast<double>(now.bytesIn - then.bytesIn);
-      sum.micros += now.micros() - then.micros();
-      sum.worst = std::max(sum.worst, (now.micros() - then.micros()) / span);
-      sum.tick += now.work[0] - then.work[0];
-      sum.webCalls += static_cast<double>(now.webCalls - then.webCalls);
-      sum.webBytes += static_cast<double>(now.webBytes - then.webBytes);
+      sum.micros += now.totalMicros() - then.totalMicros();
+      sum.worst = std::max(sum.worst, (now.totalMicros() - then.totalMicros()) / span);
+      sum.tick += now.workMicros[0] - then.workMicros[0];
+      sum.httpCalls += static_cast<double>(now.httpCalls - then.httpCalls);
+      sum.httpBytes += static_cast<double>(now.httpBytes - then.httpBytes);
     }
-    Json told = Json::object();
+    Json figures = Json::object();
     for (const auto& [role, sum] : sums) {
-      double each = sum.members * span;
-      told[role] = {{"members", sum.members},          {"messagesOut", sum.messages / each},
-                    {"bytesOut", sum.bytes / each},    {"messagesIn", sum.messagesIn / each},
-                    {"bytesIn", sum.bytesIn / each},   {"micros", sum.micros / each},
-                    {"worstMicros", sum.worst},        {"tickMicros", sum.tick / each},
-                    {"webCalls", sum.webCalls / each}, {"webBytes", sum.webBytes / each}};
+      double memberSeconds = sum.members * span;
+      figures[role] = {{"members", sum.members},
+                       {"messagesOut", sum.messages / memberSeconds},
+                       {"bytesOut", sum.bytes / memberSeconds},
+                       {"messagesIn", sum.messagesIn / memberSeconds},
+                       {"bytesIn", sum.bytesIn / memberSeconds},
+                       {"micros", sum.micros / memberSeconds},
+                       {"worstMicros", sum.worst},
+                       {"tickMicros", sum.tick / memberSeconds},
+                       {"webCalls", sum.httpCalls / memberSeconds},
+                       {"webBytes", sum.httpBytes / memberSeconds}};
     }
-    return told;
+    return figures;
   }
 
  private:
-  std::vector<HollowCost> before_;
+  std::vector<MemberCost> before_;
 };
 
-Json kindsSince(const HollowCost& now, const HollowCost& then, double memberSeconds) {
+Json costsByKind(const MemberCost& now, const MemberCost& then, double memberSeconds) {
   Json kinds = Json::object();
   for (std::size_t kind = 0; kind < kMessageKinds; ++kind) {
-    auto messages = static_cast<double>(now.messages[kind] - then.messages[kind]);
+    auto messages = static_cast<double>(now.messagesOut[kind] - then.messagesOut[kind]);
     if (messages == 0) continue;
     kinds[std::string(messageKindName(kind))] = {
         {"messages", messages / memberSeconds},
-        {"bytes", static_cast<double>(now.bytes[kind] - then.bytes[kind]) / memberSeconds},
-        {"sendMicros", (now.sending[kind] - then.sending[kind]) / memberSeconds},
-        {"takeMicros", (now.taking[kind] - then.taking[kind]) / memberSeconds}};
+        {"bytes", static_cast<double>(now.bytesOut[kind] - then.bytesOut[kind]) / memberSeconds},
+        {"sendMicros", (now.encodeMicros[kind] - then.encodeMicros[kind]) / memberSeconds},
+        {"takeMicros", (now.handleMicros[kind] - then.handleMicros[kind]) / memberSeconds}};
   }
   return kinds;
 }
 
-double bytesSent(const HollowFleet& fleet) {
+double bytesSent(const MeasurementFleet& fleet) {
   double sum = 0;
-  for (std::uint64_t bytes : fleet.total().bytes) sum += static_cast<double>(bytes);
+  for (std::uint64_t bytes : fleet.total().bytesOut) sum += static_cast<double>(bytes);
   return sum;
 }
 
-Json measureChanges(HollowFleet& fleet, const HollowPlan& plan, std::size_t firstFront) {
-  Json told{{"inForce", Json::array()},
-            {"yes", Json::array()},
-            {"bytes", Json::array()},
-            {"primaryMicros", Json::array()}};
-  std::size_t front = firstFront;
+Json measureChanges(MeasurementFleet& fleet, const MeasurementPlan& plan, std::size_t firstRouter) {
+  Json figures{{"inForce", Json::array()},
+               {"yes", Json::array()},
+               {"bytes", Json::array()},
+               {"primaryMicros", Json::array()}};
+  std::size_t router = firstRouter;
   for (int turn = 0; turn < plan.changes; ++turn) {
-    auto leader = fleet.primary();
-    double bytes = bytesSent(fleet), micros = leader ? fleet.cost(*leader).micros() : 0;
-    MonotonicTime asked = fleet.now();
-    fleet.ask(front, changeBody(turn, basedOn(fleet, front)));
-    MonotonicTime again = fleet.now() + seconds(1);
-    auto took = runUntil(fleet, seconds(20), [&] {
-      if (fleet.answered()) return fleet.inForceSince(*fleet.answered()).has_value();
-      if (fleet.now() < again || fleet.lastAnswer().empty()) return false;
-      again = fleet.now() + seconds(1);  // refused temporarily: operators retry
-      fleet.ask(front, changeBody(turn, basedOn(fleet, front)));
+    auto leader = fleet.leaderIndex();
+    double bytes = bytesSent(fleet), micros = leader ? fleet.cost(*leader).totalMicros() : 0;
+    MonotonicTime requestedAt = fleet.now();
+    fleet.requestChange(router, addTenantChange(turn, basedOn(fleet, router)));
+    MonotonicTime retryAt = fleet.now() + seconds(1);
+    auto elapsed = runUntil(fleet, seconds(20), [&] {
+      if (fleet.acknowledgedVersion())
+        return fleet.installedEverywhereAt(*fleet.acknowledgedVersion()).has_value();
+      if (fleet.now() < retryAt || fleet.lastReply().empty()) return false;
+      retryAt = fleet.now() + seconds(1);  // refused temporarily: operators retry
+      fleet.requestChange(router, addTenantChange(turn, basedOn(fleet, router)));
       return false;
     });
-    if (took) {
-      told["inForce"].push_back(inSeconds(*fleet.inForceSince(*fleet.answered()) - asked));
-      told["yes"].push_back(inSeconds(fleet.answeredAt() - asked));
+    if (elapsed) {
+      figures["inForce"].push_back(
+          inSeconds(*fleet.installedEverywhereAt(*fleet.acknowledgedVersion()) - requestedAt));
+      figures["yes"].push_back(inSeconds(fleet.acknowledgedAt() - requestedAt));
     } else {
-      told["failed"] = fleet.lastAnswer().substr(0, 200);
+      figures["failed"] = fleet.lastReply().substr(0, 200);
     }
     fleet.run(seconds(2));
-    told["bytes"].push_back(bytesSent(fleet) - bytes);
-    told["primaryMicros"].push_back(leader ? fleet.cost(*leader).micros() - micros : 0);
-    told["span"] = inSeconds(fleet.now() - asked);
+    figures["bytes"].push_back(bytesSent(fleet) - bytes);
+    figures["primaryMicros"].push_back(leader ? fleet.cost(*leader).totalMicros() - micros : 0);
+    figures["span"] = inSeconds(fleet.now() - requestedAt);
   }
-  return told;
+  return figures;
 }
 
-Json measureStops(HollowFleet& fleet, const HollowPlan& plan, std::size_t firstFront) {
+Json measureStops(MeasurementFleet& fleet, const MeasurementPlan& plan, std::size_t firstRouter) {
   std::vector<std::size_t> chosen;
-  for (int turn = 0; turn < plan.stops; ++turn)
-    chosen.push_back(firstFront + static_cast<std::size_t>(turn) * (fleet.size() - firstFront) /
-                                      static_cast<std::size_t>(plan.stops));
-  std::size_t before = fleet.noticed().size();
+  for (int turn = 0; turn < plan.stoppedRouters; ++turn)
+    chosen.push_back(firstRouter + static_cast<std::size_t>(turn) * (fleet.size() - firstRouter) /
+                                       static_cast<std::size_t>(plan.stoppedRouters));
+  std::size_t before = fleet.detectionSeconds().size();
   double bytes = bytesSent(fleet);
   MonotonicTime from = fleet.now();
   for (std::size_t index : chosen) fleet.stop(index);
-  std::size_t words = chosen.size() * (fleet.size() - chosen.size());
-  auto took =
-      runUntil(fleet, seconds(30), [&] { return fleet.noticed().size() - before >= words; });
-  std::vector<double> noticed(fleet.noticed().begin() + static_cast<std::ptrdiff_t>(before),
-                              fleet.noticed().end());
-  Json told{{"stopped", plan.stops},
-            {"allNoticed", orNull(took)},
-            {"median", quantile(noticed, 0.5)},
-            {"last", quantile(noticed, 1)},
-            {"bytesASecond", (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from)}};
+  std::size_t expectedDetections = chosen.size() * (fleet.size() - chosen.size());
+  auto elapsed = runUntil(fleet, seconds(30), [&] {
+    return fleet.detectionSeconds().size() - before >= expectedDetections;
+  });
+  std::vector<double> detections(
+      fleet.detectionSeconds().begin() + static_cast<std::ptrdiff_t>(before),
+      fleet.detectionSeconds().end());
+  Json figures{{"stopped", plan.stoppedRouters},
+               {"allNoticed", orNull(elapsed)},
+               {"median", quantile(detections, 0.5)},
+               {"last", quantile(detections, 1)},
+               {"bytesASecond", (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from)}};
   bytes = bytesSent(fleet);
   from = fleet.now();
   for (std::size_t index : chosen) fleet.start(index);
-  auto whole = runUntil(fleet, seconds(30), [&] {
-    return fleet.whole() && fleet.inForceSince(fleet.member(firstFront + 1).have.setup);
+  auto recovered = runUntil(fleet, seconds(30), [&] {
+    return fleet.membershipConverged() &&
+           fleet.installedEverywhereAt(fleet.member(firstRouter + 1).installedVersions.setup);
   });
-  told["backWhole"] = orNull(whole);
-  told["backBytesASecond"] = (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from);
-  return told;
+  figures["backWhole"] = orNull(recovered);
+  figures["backBytesASecond"] = (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from);
+  return figures;
 }
 
-Json measureCut(HollowFleet& fleet, const HollowPlan& plan, std::size_t firstFront) {
+Json measurePartition(MeasurementFleet& fleet, const MeasurementPlan& plan,
+                      std::size_t firstRouter) {
   double bytes = bytesSent(fleet);
   MonotonicTime from = fleet.now();
-  auto zones = plan.cutRegion >= 0 ? fleet.zonesOf(plan.cutRegion) : std::vector{plan.cutZone};
-  fleet.cutZones(zones);
-  auto leads = runUntil(fleet, plan.cutFor,
-                        [&] { return fleet.now() - from > seconds(3) && fleet.primary(); });
-  fleet.run(plan.cutFor - (fleet.now() - from));
-  Json told{{"zones", zones.size()},
-            {"cutFor", inSeconds(plan.cutFor)},
-            {"primaryAfter", orNull(leads)},
-            {"freshShare", fleet.freshShare()},
-            {"bytesASecond", (bytesSent(fleet) - bytes) / inSeconds(plan.cutFor)}};
+  auto zones = plan.partitionedRegion >= 0 ? fleet.zonesOf(plan.partitionedRegion)
+                                           : std::vector{plan.partitionedZone};
+  fleet.partitionZones(zones);
+  auto leaderElected = runUntil(fleet, plan.partitionTime, [&] {
+    return fleet.now() - from > seconds(3) && fleet.leaderIndex();
+  });
+  fleet.run(plan.partitionTime - (fleet.now() - from));
+  Json figures{{"zones", zones.size()},
+               {"cutFor", inSeconds(plan.partitionTime)},
+               {"primaryAfter", orNull(leaderElected)},
+               {"freshShare", fleet.freshRouterShare()},
+               {"bytesASecond", (bytesSent(fleet) - bytes) / inSeconds(plan.partitionTime)}};
   bytes = bytesSent(fleet);
   from = fleet.now();
-  fleet.cutZones({});
-  auto whole = runUntil(fleet, seconds(60), [&] { return fleet.whole(); });
-  told["whole"] = orNull(whole);
-  told["wholeBytesASecond"] = (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from);
-  told["change"] = measureChanges(fleet, {.changes = 1}, firstFront);
-  return told;
+  fleet.partitionZones({});
+  auto converged = runUntil(fleet, seconds(60), [&] { return fleet.membershipConverged(); });
+  figures["whole"] = orNull(converged);
+  figures["wholeBytesASecond"] = (bytesSent(fleet) - bytes) / inSeconds(fleet.now() - from);
+  figures["change"] = measureChanges(fleet, {.changes = 1}, firstRouter);
+  return figures;
 }
 
 }  // namespace
@@ -207,42 +220,48 @@
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-Json measureFleet(const HollowShape& shape, const HollowPlan& plan) {
+Json measureFleet(const MeasurementFleetOptions& fleetOptions, const MeasurementPlan& plan) {
   malloc_trim(0);
   double resident = residentBytes(), allocated = allocatedBytes();
-  HollowFleet fleet(shape);
-  auto firstFront = static_cast<std::size_t>(shape.cores);
+  MeasurementFleet fleet(fleetOptions);
+  auto firstRouter = static_cast<std::size_t>(fleetOptions.cores);
   auto members = static_cast<double>(fleet.size());
-  Json told{{"fronts", shape.fronts},   {"cores", shape.cores},     {"regions", shape.regions},
-            {"zones", shape.zones},     {"engines", shape.engines}, {"keptParts", shape.keptParts},
-            {"tenants", shape.tenants}, {"seed", shape.seed}};
-  told["firstPrimary"] =
-      orNull(runUntil(fleet, seconds(20), [&] { return fleet.primary().has_value(); }));
+  Json figures{{"fronts", fleetOptions.routers},  {"cores", fleetOptions.cores},
+               {"regions", fleetOptions.regions}, {"zones", fleetOptions.zones},
+               {"engines", fleetOptions.engines}, {"keptParts", fleetOptions.cachedBlocksPerEngine},
+               {"tenants", fleetOptions.tenants}, {"seed", fleetOptions.seed}};
+  figures["firstPrimary"] =
+      orNull(runUntil(fleet, seconds(20), [&] { return fleet.leaderIndex().has_value(); }));
   fleet.run(seconds(1));
-  for (int turn = 0; turn < 5 && !fleet.answered(); ++turn) {
-    fleet.ask(firstFront, firstChange(shape.tenants, "1.1"));
-    runUntil(fleet, seconds(5), [&] { return fleet.answered().has_value(); });
+  for (int turn = 0; turn < 5 && !fleet.acknowledgedVersion(); ++turn) {
+    fleet.requestChange(firstRouter, initialChange(fleetOptions.tenants, "1.1"));
+    runUntil(fleet, seconds(5), [&] { return fleet.acknowledgedVersion().has_value(); });
   }
-  if (!fleet.answered()) told["firstChangeFailed"] = fleet.lastAnswer().substr(0, 300);
-  told["firstWhole"] = orNull(runUntil(fleet, seconds(30), [&] { return fleet.whole(); }));
+  if (!fleet.acknowledgedVersion()) figures["firstChangeFailed"] = fleet.lastReply().substr(0, 300);
+  figures["firstWhole"] =
+      orNull(runUntil(fleet, seconds(30), [&] { return fleet.membershipConverged(); }));
   fleet.run(seconds(5));
-  HollowCost before = fleet.total();
+  MemberCost before = fleet.total();
   RoleCosts roles(fleet);
-  std::uint64_t suspected = fleet.counter("members.suspected"), dead = fleet.wronglyDead();
+  std::uint64_t suspectedBefore = fleet.counter("members.suspected"),
+                falseDeathsBefore = fleet.falseDeaths();
   fleet.run(plan.window);
   double span = inSeconds(plan.window);
-  told["kinds"] = kindsSince(fleet.total(), before, members * span);
-  told["roles"] = roles.since(fleet, span);
-  double wrongly = static_cast<double>(fleet.counter("members.suspected") - suspected);
-  told["suspectedWrongly"] = wrongly / (members * span);  // per member and second
-  told["deadWrongly"] = static_cast<double>(fleet.wronglyDead() - dead) / (members * span);
+  figures["kinds"] = costsByKind(fleet.total(), before, members * span);
+  figures["roles"] = roles.averagesSince(fleet, span);
+  double falseSuspicions =
+      static_cast<double>(fleet.counter("members.suspected") - suspectedBefore);
+  figures["suspectedWrongly"] = falseSuspicions / (members * span);  // per member and second
+  figures["deadWrongly"] =
+      static_cast<double>(fleet.falseDeaths() - falseDeathsBefore) / (members * span);
   malloc_trim(0);
-  told["residentEach"] = (residentBytes() - resident) / members;
-  told["allocatedEach"] = (allocatedBytes() - allocated) / members;
-  if (plan.changes > 0) told["changes"] = measureChanges(fleet, plan, firstFront);
-  if (plan.stops > 0) told["stops"] = measureStops(fleet, plan, firstFront);
-  if (plan.cutRegion >= 0 || plan.cutZone >= 0) told["cut"] = measureCut(fleet, plan, firstFront);
-  return told;
+  figures["residentEach"] = (residentBytes() - resident) / members;
+  figures["allocatedEach"] = (allocatedBytes() - allocated) / members;
+  if (plan.changes > 0) figures["changes"] = measureChanges(fleet, plan, firstRouter);
+  if (plan.stoppedRouters > 0) figures["stops"] = measureStops(fleet, plan, firstRouter);
+  if (plan.partitionedRegion >= 0 || plan.partitionedZone >= 0)
+    figures["cut"] = measurePartition(fleet, plan, firstRouter);
+  return figures;
 }
 
 }  // namespace peppergate
--- a/src/sim/loss_ledger.h
+++ b/src/sim/loss_ledger.h
@@ -6,17 +6,17 @@
 namespace peppergate {
 
 /// Counts lost machines over time. Times are seconds since the start of the schedule.
-class LossLedger {
+class MachineLossTracker {
  public:
   /// `tolerate`: the number of machines that may be lost at once; `catchUp`: how long a machine
   /// still counts as lost after its return.
-  LossLedger(int tolerate, double catchUp) : tolerate_(tolerate), catchUp_(catchUp) {}
+  MachineLossTracker(int tolerate, double catchUp) : tolerate_(tolerate), catchUp_(catchUp) {}
 
   /// Records machines as lost from a time until their return. Returns false and records nothing if
   /// too many would be lost at any moment.
-  bool lose(int machines, double from, double back);
+  bool recordLoss(int machines, double from, double returnTime);
   /// Records an event that is allowed only while no machine is lost, such as a loss of all at once.
-  bool loseAll(double from, double back);
+  bool recordTotalLoss(double from, double returnTime);
   int tolerate() const { return tolerate_; }
   double catchUp() const { return catchUp_; }
 
@@ -25,7 +25,7 @@
     int machines;
     double from, to;
   };
-  int mostLost(double from, double to) const;
+  int maxLost(double from, double to) const;
 
   int tolerate_;
   double catchUp_;
--- a/src/sim/mixed_day.cc
+++ b/src/sim/mixed_day.cc
@@ -10,12 +10,12 @@
 namespace peppergate {
 namespace {
 
-constexpr double kFirstMoment = 0.5;  // seconds after the start of traffic
-constexpr double kClosingAfter = 6;   // seconds from the last repairs to the closing action
-constexpr double kWholeAfter = 0.5;   // seconds from the last fault to the last repairs
-constexpr double kSettling = 19;      // seconds of traffic after the last action
+constexpr double kFirstFaultSeconds = 0.5;   // seconds after the start of traffic
+constexpr double kClosingDelaySeconds = 6;   // seconds from the last repairs to the closing action
+constexpr double kRepairDelaySeconds = 0.5;  // seconds from the last fault to the last repairs
+constexpr double kTrafficAfterLastActionSeconds = 19;  // seconds of traffic after the last action
 
-ScheduleSize drawSize(Random& random, Interface interface) {
+ScheduleSize generateSize(Random& random, Interface interface) {
   ScheduleSize size;
   size.interface = interface;
   constexpr std::array kCores{3, 3, 4, 5};
@@ -25,7 +25,7 @@
   return size;
 }
 
-std::string headOf(std::uint64_t seed, const ScheduleSize& size) {
+std::string makeHeader(std::uint64_t seed, const ScheduleSize& size) {
   bool routers = size.interface == Interface::kRouters;
   std::ostringstream text;
   text << "# A random schedule, seed " << seed << ", of at most " << size.tolerate
@@ -44,7 +44,7 @@
     "heal",       "thaw all",   "disk cores good", "throttle all 0",
     "loss 0.002", "late 0.003", "start all"};
 
-void repair(std::vector<std::string>& lines, double at) {
+void addRepairs(std::vector<std::string>& lines, double at) {
   for (std::string_view words : kRepairs) {
     std::ostringstream line;
     line << "at " << at << "s " << words;
@@ -52,76 +52,81 @@
   }
 }
 
-double timeOf(const std::string& line) { return std::strtod(line.c_str() + 3, nullptr); }
+double actionSeconds(const std::string& line) { return std::strtod(line.c_str() + 3, nullptr); }
 
 /// The kind of a failure: its text up to the first number or colon.
-std::string kindOf(const std::string& failure) {
+std::string failureKind(const std::string& failure) {
   return failure.substr(0, failure.find_first_of(":0123456789"));
 }
 
-bool failsAlike(const MixedDay& day, const std::string& kind) {
-  MixedReport report = runMixedDay(day);
-  return std::ranges::any_of(report.failures,
-                             [&](const std::string& failure) { return kindOf(failure) == kind; });
+bool failsWithKind(const MixedSchedule& schedule, const std::string& kind) {
+  MixedScheduleReport report = runMixedSchedule(schedule);
+  return std::ranges::any_of(
+      report.failures, [&](const std::string& failure) { return failureKind(failure) == kind; });
 }
 
 }  // namespace
 
-std::string MixedDay::text() const {
+std::string MixedSchedule::text() const {
   double last = 0;
-  for (const auto& line : lines) last = std::max(last, timeOf(line));
+  for (const auto& line : actionLines) last = std::max(last, actionSeconds(line));
   std::ostringstream text;
-  text << head << "run " << static_cast<int>(last + kSettling) << "s\n";
-  for (const auto& line : lines) text << line << "\n";
+  text << header << "run " << static_cast<int>(last + kTrafficAfterLastActionSeconds) << "s\n";
+  for (const auto& line : actionLines) text << line << "\n";
   text << "expect clean\n";
   if (interface == Interface::kStreams) text << "expect primary\n";
   return text.str();
 }
 
-MixedDay drawMixedDay(std::uint64_t seed, Interface interface) {
+MixedSchedule generateMixedSchedule(std::uint64_t seed, Interface interface) {
   Random random(seed * 31 + 5);
-  ScheduleSize size = drawSize(random, interface);
-  ScheduleDrawer drawer(seed, size);
-  double at = kFirstMoment + 3 * random.fraction();
+  ScheduleSize size = generateSize(random, interface);
+  ScheduleGenerator drawer(seed, size);
+  double at = kFirstFaultSeconds + 3 * random.fraction();
   for (int moments = 4 + static_cast<int>(random.below(4)); moments > 0; --moments) {
-    drawer.drawMoment(at);
+    drawer.addFaults(at);
     at += 2 + 7 * random.fraction();
   }
-  MixedDay day{seed, interface, headOf(seed, size), {}};
-  double whole = std::max(at, drawer.last()) + kWholeAfter;
-  if (random.below(2) == 0) drawer.drawClosing(whole + kClosingAfter);
-  repair(day.lines, whole);
+  MixedSchedule schedule{seed, interface, makeHeader(seed, size), {}};
+  double repairsAt = std::max(at, drawer.lastTime()) + kRepairDelaySeconds;
+  if (random.below(2) == 0) drawer.addClosingFault(repairsAt + kClosingDelaySeconds);
+  addRepairs(schedule.actionLines, repairsAt);
   auto lines = drawer.lines();
-  day.lines.insert(day.lines.end(), lines.begin(), lines.end());
-  std::ranges::stable_sort(day.lines, {}, timeOf);
-  return day;
+  schedule.actionLines.insert(schedule.actionLines.end(), lines.begin(), lines.end());
+  std::ranges::stable_sort(schedule.actionLines, {}, actionSeconds);
+  return schedule;
 }
 
-MixedReport runMixedDay(const MixedDay& day) {
-  if (day.interface == Interface::kStreams) {
-    auto scenario = parseScenario(day.text());
-    if (!scenario.ok()) return {"mixed", day.seed, {std::string(scenario.status().message())}, {}};
-    RunReport report = runScenario(*scenario, day.seed);
-    return {
-        report.scenario, day.seed, report.failures, {report.figures.begin(), report.figures.end()}};
+MixedScheduleReport runMixedSchedule(const MixedSchedule& schedule) {
+  if (schedule.interface == Interface::kStreams) {
+    auto scenario = parseScenario(schedule.text());
+    if (!scenario.ok())
+      return {"mixed", schedule.seed, {std::string(scenario.status().message())}, {}};
+    RunReport report = runScenario(*scenario, schedule.seed);
+    return {report.scenario,
+            schedule.seed,
+            report.failures,
+            {report.figures.begin(), report.figures.end()}};
   }
-  auto scenario = parseRouterScenario(day.text());
-  if (!scenario.ok()) return {"mixed", day.seed, {std::string(scenario.status().message())}, {}};
-  RouterReport report = runRouters(*scenario, day.seed);
-  return {report.scenario, day.seed, report.failures, report.figures};
+  auto scenario = parseRouterScenario(schedule.text());
+  if (!scenario.ok())
+    return {"mixed", schedule.seed, {std::string(scenario.status().message())}, {}};
+  RouterReport report = runRouterScenario(*scenario, schedule.seed);
+  return {report.scenario, schedule.seed, report.failures, report.figures};
 }
 
-MixedDay shrinkMixedDay(const MixedDay& day, const MixedReport& report, int mostRuns) {
-  if (report.failures.empty()) return day;
-  std::string kind = kindOf(report.failures.front());
-  MixedDay least = day;
+MixedSchedule shrinkMixedSchedule(const MixedSchedule& schedule, const MixedScheduleReport& report,
+                                  int maxRuns) {
+  if (report.failures.empty()) return schedule;
+  std::string kind = failureKind(report.failures.front());
+  MixedSchedule shortest = schedule;
   auto fails = [&](const std::vector<std::string>& lines) {
-    MixedDay shorter = day;
-    shorter.lines = lines;
-    return failsAlike(shorter, kind);
+    MixedSchedule shorter = schedule;
+    shorter.actionLines = lines;
+    return failsWithKind(shorter, kind);
   };
-  least.lines = shrinkLines(day.lines, fails, mostRuns);
-  return least;
+  shortest.actionLines = shrinkLines(schedule.actionLines, fails, maxRuns);
+  return shortest;
 }
 
 }  // namespace peppergate
--- a/src/sim/mixed_day.h
+++ b/src/sim/mixed_day.h
@@ -11,16 +11,16 @@
 
 /// A random schedule as the head and the action lines of a scenario file, so that lines can be
 /// removed.
-struct MixedDay {
+struct MixedSchedule {
   std::uint64_t seed = 0;
   Interface interface = Interface::kStreams;
-  std::string head;
-  std::vector<std::string> lines;
+  std::string header;
+  std::vector<std::string> actionLines;
   std::string text() const;
 };
 
 /// The result of a run of one schedule.
-struct MixedReport {
+struct MixedScheduleReport {
   std::string name;
   std::uint64_t seed = 0;
   std::vector<std::string> failures;
@@ -28,11 +28,12 @@
 };
 
 /// Draws a schedule; it depends only on the arguments.
-MixedDay drawMixedDay(std::uint64_t seed, Interface interface);
+MixedSchedule generateMixedSchedule(std::uint64_t seed, Interface interface);
 /// Runs a schedule under its seed.
-MixedReport runMixedDay(const MixedDay& day);
+MixedScheduleReport runMixedSchedule(const MixedSchedule& schedule);
 /// Removes lines that a failing schedule doesn't need in order to fail in the same way. Runs the
-/// schedule up to `mostRuns` times.
-MixedDay shrinkMixedDay(const MixedDay& day, const MixedReport& report, int mostRuns);
+/// schedule up to `maxRuns` times.
+MixedSchedule shrinkMixedSchedule(const MixedSchedule& schedule, const MixedScheduleReport& report,
+                                  int maxRuns);
 
 }  // namespace peppergate
--- a/src/sim/random_day.h
+++ b/src/sim/random_day.h
@@ -10,27 +10,27 @@
 namespace peppergate {
 
 /// A random schedule as a scenario file in two parts: the header and the lines in order of time.
-struct RandomDay {
+struct RandomSchedule {
   std::uint64_t seed = 0;
-  std::string head;
+  std::string header;
   std::vector<std::string> lines;
   /// The schedule as a scenario file.
   std::string text() const;
 };
 
 /// The size of the fleet and its load, in requests per second.
-struct DaySize {
+struct RandomScheduleSize {
   int fronts = 9;
   int engines = 18;
-  double requests = 25;
+  double requestsPerSecond = 25;
 };
 
 /// Generates a schedule that never has more faults at once than the fleet has to tolerate.
-RandomDay drawDay(std::uint64_t seed, const DaySize& size);
+RandomSchedule generateRandomSchedule(std::uint64_t seed, const RandomScheduleSize& size);
 /// Runs a schedule under its seed.
-RunReport runDay(const RandomDay& day);
+RunReport runRandomSchedule(const RandomSchedule& schedule);
 /// Removes lines that a failing schedule doesn't need to fail in the same way; the result serves as
 /// a regression scenario.
-RandomDay cutDown(const RandomDay& day, const RunReport& report);
+RandomSchedule shrinkRandomSchedule(const RandomSchedule& schedule, const RunReport& report);
 
 }  // namespace peppergate
--- a/src/sim/router_attempts.cc
+++ b/src/sim/router_attempts.cc
@@ -8,7 +8,8 @@
 namespace peppergate {
 namespace {
 
-constexpr double kGarbled = 0.3;  // share of faulty responses of an engine with a response fault
+constexpr double kResponseFaultShare =
+    0.3;  // share of faulty responses of an engine with a response fault
 
 std::shared_ptr<const WireHead> wireHead(int status) {
   auto head = std::make_shared<WireHead>();
@@ -16,250 +17,281 @@
   return head;
 }
 
-AttemptTurned bare(AttemptTurn turn) {
-  AttemptTurned turned;
-  turned.turn = turn;
-  return turned;
+AttemptEvent attemptEvent(AttemptEventKind kind) {
+  AttemptEvent event;
+  event.kind = kind;
+  return event;
 }
 
-std::uint64_t idOf(const RouterRun& run, std::uint64_t event) {
-  auto tokens = static_cast<std::uint64_t>(run.run.tokensOut);
-  return std::min(event * static_cast<std::uint64_t>(run.engine->model->options().stride), tokens);
+std::uint64_t eventId(const RouterAttempt& attempt, std::uint64_t event) {
+  auto tokens = static_cast<std::uint64_t>(attempt.engineRun.tokensOut);
+  return std::min(event * static_cast<std::uint64_t>(attempt.engine->batchEngine->options().stride),
+                  tokens);
 }
 
-std::string runName(const RouterRun& run) {
-  return run.engine->model->id().value + "." + std::to_string(run.run.number);
+std::string runName(const RouterAttempt& attempt) {
+  return attempt.engine->batchEngine->id().value + "." + std::to_string(attempt.engineRun.number);
 }
 
 }  // namespace
 
-RouterEngine* RouterWorld::engineAt(const Address& address) {
+RouterEngine* RouterWorld::engineByAddress(const Address& address) {
   for (auto& engine : engines_)
     if (engine->address == address) return engine.get();
   return nullptr;
 }
 
-void RouterWorld::turn(const RunPointer& run, AttemptTurned turned) {
-  if (run->over) return;
-  if (run->paused) return run->waiting.push_back(std::move(turned));
-  bool last = turned.turn == AttemptTurn::kEnded || turned.turn == AttemptTurn::kBroken ||
-              turned.turn == AttemptTurn::kNotWritten;
-  bool local = turned.turn == AttemptTurn::kNotWritten || turned.turn == AttemptTurn::kWritten;
-  if (!local && !reachable(run->process->host, run->engine->host)) {
-    run->over = true;  // the connection hangs: the router receives nothing more
+void RouterWorld::sendAttemptEvent(const AttemptPointer& attempt, AttemptEvent event) {
+  if (attempt->closed) return;
+  if (attempt->paused) return attempt->heldEvents.push_back(std::move(event));
+  bool isLast = event.kind == AttemptEventKind::kComplete ||
+                event.kind == AttemptEventKind::kBroken ||
+                event.kind == AttemptEventKind::kNotWritten;
+  bool isLocal =
+      event.kind == AttemptEventKind::kNotWritten || event.kind == AttemptEventKind::kWritten;
+  if (!isLocal && !reachable(attempt->process->host, attempt->engine->host)) {
+    attempt->closed = true;  // the connection hangs: the router receives nothing more
     return;
   }
-  turned.attempt = run->open.attempt;
-  if (last) run->over = true;
-  MonotonicTime at = std::max(now() + (local ? Duration{1} : latency()), run->lastTurn);
-  run->lastTurn = at;
-  after(at - now(), [this, run, turned = std::move(turned)] {
-    if (run->process->life != run->processLife) return;
-    deliver(*run->process, turned);
-    if (run->over) runs_.erase({run->process, run->open.attempt.value});
+  event.attempt = attempt->command.attempt;
+  if (isLast) attempt->closed = true;
+  MonotonicTime at =
+      std::max(now() + (isLocal ? Duration{1} : drawLatency()), attempt->lastDelivery);
+  attempt->lastDelivery = at;
+  scheduleAfter(at - now(), [this, attempt, event = std::move(event)] {
+    if (attempt->process->incarnation != attempt->processIncarnation) return;
+    deliver(*attempt->process, event);
+    if (attempt->closed) attempts_.erase({attempt->process, attempt->command.attempt.value});
   });
 }
 
 void RouterWorld::openAttempt(RouterProcess& process, const OpenAttempt& command) {
-  auto run = std::make_shared<RouterRun>();
-  run->process = &process;
-  run->processLife = process.life;
-  run->open = command;
-  run->engine = engineAt(command.address);
+  auto attempt = std::make_shared<RouterAttempt>();
+  attempt->process = &process;
+  attempt->processIncarnation = process.incarnation;
+  attempt->command = command;
+  attempt->engine = engineByAddress(command.address);
   ClientRequest* request = clients_->find(command.clientId);
-  if (run->engine == nullptr || request == nullptr)
+  if (attempt->engine == nullptr || request == nullptr)
     return checker_->fail("attempt-nowhere", command.address.value);
-  run->asked = request->asked;
-  request->engineBroke = false;  // from now on this attempt decides how the request ends
-  request->attempt = run;
-  run->engineLife = run->engine->life;
-  runs_[{&process, command.attempt.value}] = run;
-  allRuns_.push_back(run);
-  bool there = reachable(process.host, run->engine->host);
-  bool kept = random_.below(2) == 0;  // an idle connection is reused
-  if (!run->engine->alive || ((run->engine->dark || !there) && !kept)) {
-    Duration wait = run->engine->alive || !there ? command.connectTimeout : latency();
-    after(wait, [this, run] {
-      if (!run->over) turn(run, bare(AttemptTurn::kNotWritten));
+  attempt->arrival = request->arrival;
+  request->engineFailed = false;  // from now on this attempt decides how the request ends
+  request->attempt = attempt;
+  attempt->engineIncarnation = attempt->engine->incarnation;
+  attempts_[{&process, command.attempt.value}] = attempt;
+  allAttempts_.push_back(attempt);
+  bool engineReachable = reachable(process.host, attempt->engine->host);
+  bool reusesConnection = random_.below(2) == 0;  // an idle connection is reused
+  if (!attempt->engine->alive ||
+      ((attempt->engine->unreachable || !engineReachable) && !reusesConnection)) {
+    Duration wait =
+        attempt->engine->alive || !engineReachable ? command.connectTimeout : drawLatency();
+    scheduleAfter(wait, [this, attempt] {
+      if (!attempt->closed) sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kNotWritten));
     });
     return;
   }
-  after(kept ? Duration{1} : latency() + latency(), [this, run] {
-    auto writes = [this, run] {
-      if (run->over || run->process->life != run->processLife) return;
-      if (run->process->local(now()) >= run->open.writeBefore)
-        return turn(run, bare(AttemptTurn::kNotWritten));
-      turn(run, bare(AttemptTurn::kWritten));
-      checker_->wrote(*run, *clients_->find(run->open.clientId));
-      bool lost = run->engine->dark || !reachable(run->process->host, run->engine->host);
+  scheduleAfter(reusesConnection ? Duration{1} : drawLatency() + drawLatency(), [this, attempt] {
+    auto writeRequest = [this, attempt] {
+      if (attempt->closed || attempt->process->incarnation != attempt->processIncarnation) return;
+      if (attempt->process->localTime(now()) >= attempt->command.writeBefore)
+        return sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kNotWritten));
+      sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kWritten));
+      checker_->handleAttemptWritten(*attempt, *clients_->find(attempt->command.clientId));
+      bool lost =
+          attempt->engine->unreachable || !reachable(attempt->process->host, attempt->engine->host);
       if (lost) {  // no response and no error
-        clients_->find(run->open.clientId)->engineBroke = true;
+        clients_->find(attempt->command.clientId)->engineFailed = true;
         return;
       }
-      after(latency(), [this, run] { arrive(run); });
+      scheduleAfter(drawLatency(), [this, attempt] { beginRun(attempt); });
     };
     // A frozen process continues once it thaws.
-    if (run->process->frozen) run->process->held.push_back(writes);
-    else writes();
+    if (attempt->process->frozen) attempt->process->queuedWhileFrozen.push_back(writeRequest);
+    else writeRequest();
   });
 }
 
-void RouterWorld::arrive(const RunPointer& run) {
-  RouterEngine& engine = *run->engine;
-  if (!engine.alive || engine.life != run->engineLife) {
+void RouterWorld::beginRun(const AttemptPointer& attempt) {
+  RouterEngine& engine = *attempt->engine;
+  if (!engine.alive || engine.incarnation != attempt->engineIncarnation) {
     // The connection ended with the process, unless a restarted one listens at the address.
-    if (!engine.alive || random_.below(2) == 0) return turn(run, bare(AttemptTurn::kBroken));
-    run->engineLife = engine.life;
+    if (!engine.alive || random_.below(2) == 0)
+      return sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kBroken));
+    attempt->engineIncarnation = engine.incarnation;
   }
-  BatchVerdict verdict = engine.model->take(run->open, run->asked, now(), run->run);
-  if (verdict != BatchVerdict::kTaken) return declineRun(run, verdict);
-  run->taken = true;
-  run->garbles = !engine.garble.empty() && random_.fraction() < kGarbled;
-  checker_->took(*run, *clients_->find(run->open.clientId));
+  BatchAdmission admission =
+      engine.batchEngine->admit(attempt->command, attempt->arrival, now(), attempt->engineRun);
+  if (admission != BatchAdmission::kAccepted) return declineAttempt(attempt, admission);
+  attempt->running = true;
+  attempt->faulty = !engine.responseFault.empty() && random_.fraction() < kResponseFaultShare;
+  checker_->handleAttemptAccepted(*attempt, *clients_->find(attempt->command.clientId));
   BatchEngine* source = nullptr;
-  if (run->open.collectFrom) {
-    RouterEngine* keeper = engineAt(*run->open.collectFrom);
-    if (keeper != nullptr && keeper->alive && !keeper->dark) source = keeper->model.get();
+  if (attempt->command.collectFrom) {
+    RouterEngine* sourceEngine = engineByAddress(*attempt->command.collectFrom);
+    if (sourceEngine != nullptr && sourceEngine->alive && !sourceEngine->unreachable)
+      source = sourceEngine->batchEngine.get();
   }
-  Duration first = engine.model->read(run->run, source, 1, now()) * engine.slow;
-  if (run->open.depositAt) {
-    after(first, [this, run] {
-      RouterEngine* store = engineAt(*run->open.depositAt);
-      if (store != nullptr && store->store && store->alive && run->taken)
-        store->model->keep(run->run.salt, run->run.model, run->run.parts, run->run.version,
-                           run->run.tenant.value, now());
+  Duration firstEventDelay =
+      engine.batchEngine->prefill(attempt->engineRun, source, 1, now()) * engine.slowdown;
+  if (attempt->command.depositAt) {
+    scheduleAfter(firstEventDelay, [this, attempt] {
+      RouterEngine* store = engineByAddress(*attempt->command.depositAt);
+      if (store != nullptr && store->isStore && store->alive && attempt->running)
+        store->batchEngine->insertBlocks(
+            attempt->engineRun.salt, attempt->engineRun.model, attempt->engineRun.promptBlocks,
+            attempt->engineRun.version, attempt->engineRun.tenant.value, now());
     });
   }
   // The engine stops a run at its caller's deadline.
-  after(run->open.timeLeft, [this, run] {
-    if (run->taken) breakOff(run);
+  scheduleAfter(attempt->command.timeLeft, [this, attempt] {
+    if (attempt->running) breakConnection(attempt);
   });
-  if (run->open.stream) return after(first, [this, run] { streamNext(run); });
-  double events = static_cast<double>(run->run.last);
-  after(first + engine.model->pace() * (events * engine.slow), [this, run] { answerWhole(run); });
+  if (attempt->command.stream)
+    return scheduleAfter(firstEventDelay, [this, attempt] { sendNextEvent(attempt); });
+  double events = static_cast<double>(attempt->engineRun.lastEvent);
+  scheduleAfter(firstEventDelay + engine.batchEngine->eventInterval() * (events * engine.slowdown),
+                [this, attempt] { sendWholeResponse(attempt); });
 }
 
-void RouterWorld::declineRun(const RunPointer& run, BatchVerdict verdict) {
-  bool busy = verdict == BatchVerdict::kFull || verdict == BatchVerdict::kLoading;
-  AttemptTurned head = headOf(run, busy ? 503 : 421, false);
+void RouterWorld::declineAttempt(const AttemptPointer& attempt, BatchAdmission admission) {
+  bool busy = admission == BatchAdmission::kFull || admission == BatchAdmission::kLoading;
+  AttemptEvent head = responseHead(attempt, busy ? 503 : 421, false);
   head.notRun = true;
-  if (verdict == BatchVerdict::kOtherEngine) {
+  if (admission == BatchAdmission::kWrongEngine) {
     head.versions.clear();
     head.load.reset();
   }
-  turn(run, head);
-  after(Duration{2000}, [this, run] { turn(run, bare(AttemptTurn::kEnded)); });
+  sendAttemptEvent(attempt, head);
+  scheduleAfter(Duration{2000}, [this, attempt] {
+    sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kComplete));
+  });
 }
 
-AttemptTurned RouterWorld::headOf(const RunPointer& run, int status, bool success) const {
-  AttemptTurned head;
-  head.turn = AttemptTurn::kHead;
+AttemptEvent RouterWorld::responseHead(const AttemptPointer& attempt, int status,
+                                       bool success) const {
+  AttemptEvent head;
+  head.kind = AttemptEventKind::kHead;
   head.head = wireHead(status);
   head.success = success;
-  head.load = run->engine->model->load();
-  head.versions = run->engine->model->models();
+  head.load = attempt->engine->batchEngine->load();
+  head.versions = attempt->engine->batchEngine->models();
   return head;
 }
 
-void RouterWorld::leaveEngine(const RunPointer& run) {
-  if (!run->taken) return;
-  run->taken = false;
-  if (run->engine->life == run->engineLife) run->engine->model->ended(run->run);
+void RouterWorld::endRun(const AttemptPointer& attempt) {
+  if (!attempt->running) return;
+  attempt->running = false;
+  if (attempt->engine->incarnation == attempt->engineIncarnation)
+    attempt->engine->batchEngine->endRun(attempt->engineRun);
 }
 
-void RouterWorld::breakOff(const RunPointer& run) {
-  if (ClientRequest* request = clients_->find(run->open.clientId)) request->engineBroke = true;
-  leaveEngine(run);
-  turn(run, bare(AttemptTurn::kBroken));
+void RouterWorld::breakConnection(const AttemptPointer& attempt) {
+  if (ClientRequest* request = clients_->find(attempt->command.clientId))
+    request->engineFailed = true;
+  endRun(attempt);
+  sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kBroken));
 }
 
-void RouterWorld::answerWhole(const RunPointer& run) {
-  if (!run->taken) return;
-  const std::string& garble = run->engine->garble;
-  if (run->garbles && (garble == "lost" || garble == "foreign" || garble == "short"))
-    return breakOff(run);  // the connection's reader rejects the malformed or foreign response
-  if (run->garbles) clients_->find(run->open.clientId)->engineBroke = true;
-  if (run->garbles && (garble == "fails" || garble == "busy")) {
-    leaveEngine(run);
-    turn(run, headOf(run, garble == "busy" ? 503 : 500, false));
-    after(Duration{2000}, [this, run] { turn(run, bare(AttemptTurn::kEnded)); });
+void RouterWorld::sendWholeResponse(const AttemptPointer& attempt) {
+  if (!attempt->running) return;
+  const std::string& fault = attempt->engine->responseFault;
+  if (attempt->faulty && (fault == "lost" || fault == "foreign" || fault == "short"))
+    return breakConnection(
+        attempt);  // the connection's reader rejects the malformed or foreign response
+  if (attempt->faulty) clients_->find(attempt->command.clientId)->engineFailed = true;
+  if (attempt->faulty && (fault == "fails" || fault == "busy")) {
+    endRun(attempt);
+    sendAttemptEvent(attempt, responseHead(attempt, fault == "busy" ? 503 : 500, false));
+    scheduleAfter(Duration{2000}, [this, attempt] {
+      sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kComplete));
+    });
     return;
   }
-  bool stamped = !(run->garbles && garble == "unstamped");
-  leaveEngine(run);
-  turn(run, headOf(run, 200, stamped));
-  after(Duration{2000}, [this, run] {
-    AttemptTurned body;
-    body.turn = AttemptTurn::kBody;
-    body.bytes = "whole " + run->open.clientId + " " + runName(*run) + "\n";
-    turn(run, body);
+  bool stamped = !(attempt->faulty && fault == "unstamped");
+  endRun(attempt);
+  sendAttemptEvent(attempt, responseHead(attempt, 200, stamped));
+  scheduleAfter(Duration{2000}, [this, attempt] {
+    AttemptEvent body;
+    body.kind = AttemptEventKind::kBody;
+    body.bytes = "whole " + attempt->command.clientId + " " + runName(*attempt) + "\n";
+    sendAttemptEvent(attempt, body);
+  });
+  scheduleAfter(Duration{4000}, [this, attempt] {
+    sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kComplete));
   });
-  after(Duration{4000}, [this, run] { turn(run, bare(AttemptTurn::kEnded)); });
 }
 
-void RouterWorld::streamNext(const RunPointer& run) {
-  if (!run->taken) return;
-  const std::string& garble = run->engine->garble;
-  if (run->garbles) clients_->find(run->open.clientId)->engineBroke = true;
-  if (run->events == 0) {
+void RouterWorld::sendNextEvent(const AttemptPointer& attempt) {
+  if (!attempt->running) return;
+  const std::string& fault = attempt->engine->responseFault;
+  if (attempt->faulty) clients_->find(attempt->command.clientId)->engineFailed = true;
+  if (attempt->sentEvents == 0) {
     bool stamped = true;
-    if (run->garbles) {
-      if (garble == "lost" || garble == "foreign") return breakOff(run);
-      if (garble == "fails" || garble == "busy") return answerWhole(run);
-      stamped = garble != "unstamped";
+    if (attempt->faulty) {
+      if (fault == "lost" || fault == "foreign") return breakConnection(attempt);
+      if (fault == "fails" || fault == "busy") return sendWholeResponse(attempt);
+      stamped = fault != "unstamped";
     }
-    run->engine->model->began(run->run, now());
-    turn(run, headOf(run, 200, stamped));
+    attempt->engine->batchEngine->recordFirstEvent(attempt->engineRun, now());
+    sendAttemptEvent(attempt, responseHead(attempt, 200, stamped));
     // Fault: a run that the router resumes at another engine skips an event.
-    bool joined = run->open.resumeAfter && run->open.resumeAfter != run->asked.resumeAfter;
-    if (run->garbles && garble == "skip" && joined) ++run->run.next;
+    bool resumed = attempt->command.resumeAfterEventId &&
+                   attempt->command.resumeAfterEventId != attempt->arrival.resumeAfterEventId;
+    if (attempt->faulty && fault == "skip" && resumed) ++attempt->engineRun.nextEvent;
   }
-  ++run->events;
-  if (run->garbles && garble == "short" && run->events > 2) return breakOff(run);
-  std::uint64_t event = std::min(run->run.next, run->run.last);
-  bool repeats = run->garbles && garble == "repeat" && run->events == 3 && event > 1;
+  ++attempt->sentEvents;
+  if (attempt->faulty && fault == "short" && attempt->sentEvents > 2)
+    return breakConnection(attempt);
+  std::uint64_t event = std::min(attempt->engineRun.nextEvent, attempt->engineRun.lastEvent);
+  bool repeats = attempt->faulty && fault == "repeat" && attempt->sentEvents == 3 && event > 1;
   if (repeats) --event;
-  AttemptTurned body;
-  body.turn = AttemptTurn::kBody;
-  body.firstEvent = body.lastEvent = idOf(*run, event);
-  body.bytes = "event " + run->open.clientId + " " + runName(*run) + " " +
-               std::to_string(idOf(*run, event - 1)) + " " + std::to_string(*body.lastEvent) + "\n";
-  turn(run, body);
-  if (!repeats) ++run->run.next;
-  if (run->run.next > run->run.last) {
-    leaveEngine(run);
-    after(Duration{3000}, [this, run] { turn(run, bare(AttemptTurn::kEnded)); });
+  AttemptEvent body;
+  body.kind = AttemptEventKind::kBody;
+  body.firstEventId = body.lastEventId = eventId(*attempt, event);
+  body.bytes = "event " + attempt->command.clientId + " " + runName(*attempt) + " " +
+               std::to_string(eventId(*attempt, event - 1)) + " " +
+               std::to_string(*body.lastEventId) + "\n";
+  sendAttemptEvent(attempt, body);
+  if (!repeats) ++attempt->engineRun.nextEvent;
+  if (attempt->engineRun.nextEvent > attempt->engineRun.lastEvent) {
+    endRun(attempt);
+    scheduleAfter(Duration{3000}, [this, attempt] {
+      sendAttemptEvent(attempt, attemptEvent(AttemptEventKind::kComplete));
+    });
     return;
   }
-  after(run->engine->model->pace() * run->engine->slow, [this, run] { streamNext(run); });
+  scheduleAfter(attempt->engine->batchEngine->eventInterval() * attempt->engine->slowdown,
+                [this, attempt] { sendNextEvent(attempt); });
 }
 
 void RouterWorld::pauseAttempt(RouterProcess& process, const PauseAttempt& command) {
-  auto found = runs_.find({&process, command.attempt.value});
-  if (found == runs_.end()) return;
-  RunPointer run = found->second;
-  run->paused = command.paused;
-  if (!run->paused)
-    for (auto& turned : std::exchange(run->waiting, {})) turn(run, std::move(turned));
+  auto found = attempts_.find({&process, command.attempt.value});
+  if (found == attempts_.end()) return;
+  AttemptPointer attempt = found->second;
+  attempt->paused = command.paused;
+  if (!attempt->paused)
+    for (auto& event : std::exchange(attempt->heldEvents, {}))
+      sendAttemptEvent(attempt, std::move(event));
 }
 
-void RouterWorld::cancelAttempt(RouterProcess& process, AttemptId attempt) {
-  auto found = runs_.find({&process, attempt.value});
-  if (found == runs_.end()) return;
-  RunPointer run = found->second;
-  runs_.erase(found);
-  run->over = true;
-  after(latency(), [this, run] {
-    if (reachable(run->process->host, run->engine->host)) leaveEngine(run);
+void RouterWorld::cancelAttempt(RouterProcess& process, AttemptId id) {
+  auto found = attempts_.find({&process, id.value});
+  if (found == attempts_.end()) return;
+  AttemptPointer attempt = found->second;
+  attempts_.erase(found);
+  attempt->closed = true;
+  scheduleAfter(drawLatency(), [this, attempt] {
+    if (reachable(attempt->process->host, attempt->engine->host)) endRun(attempt);
   });
 }
 
-void RouterWorld::endRuns(const std::function<bool(const RouterRun&)>& which) {
-  for (auto& weak : std::exchange(allRuns_, {})) {
-    RunPointer run = weak.lock();
-    if (run == nullptr || (run->over && !run->taken)) continue;
-    if (which(*run) && run->taken) breakOff(run);
-    else allRuns_.push_back(run);
+void RouterWorld::breakAttempts(const std::function<bool(const RouterAttempt&)>& affected) {
+  for (auto& weak : std::exchange(allAttempts_, {})) {
+    AttemptPointer attempt = weak.lock();
+    if (attempt == nullptr || (attempt->closed && !attempt->running)) continue;
+    if (affected(*attempt) && attempt->running) breakConnection(attempt);
+    else allAttempts_.push_back(attempt);
   }
 }
 
--- a/src/sim/router_faults.cc
+++ b/src/sim/router_faults.cc
@@ -10,170 +10,174 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kGrace = seconds(8);        // from an engine's draining until it is stopped
-constexpr Duration kCrashListed = seconds(3);  // how long a crashed engine stays listed
+constexpr Duration kDrainGrace = seconds(8);    // from an engine's draining until it is stopped
+constexpr Duration kCrashListLag = seconds(3);  // how long a crashed engine stays listed
 
 int numberOf(const std::string& word) { return std::atoi(word.c_str()); }
 
 }  // namespace
 
-void RouterWorld::processEnded(SimProcess& process, bool planned) {
+void RouterWorld::handleProcessEnd(SimProcess& process, bool planned) {
   (void)planned;
   if (process.role == Role::kCore) return;
-  clients_->lost(process);
-  std::vector<RunPointer> gone;
-  for (auto entry = runs_.begin(); entry != runs_.end();) {
+  clients_->handleRouterExit(process);
+  std::vector<AttemptPointer> lostAttempts;
+  for (auto entry = attempts_.begin(); entry != attempts_.end();) {
     if (entry->first.first != &process) {
       ++entry;
       continue;
     }
-    gone.push_back(entry->second);
-    entry = runs_.erase(entry);
+    lostAttempts.push_back(entry->second);
+    entry = attempts_.erase(entry);
   }
   // Engines notice the closed connections one network delay later.
-  for (auto& run : gone) {
-    run->over = true;
-    after(latency(), [this, run] { leaveEngine(run); });
+  for (auto& attempt : lostAttempts) {
+    attempt->closed = true;
+    scheduleAfter(drawLatency(), [this, attempt] { endRun(attempt); });
   }
 }
 
-void RouterWorld::reborn(RouterEngine& engine) {
+void RouterWorld::restartEngine(RouterEngine& engine) {
   if (engine.alive) return;
-  ++engine.life;
+  ++engine.incarnation;
   engine.alive = engine.listed = true;
-  engine.draining = engine.dark = false;
+  engine.draining = engine.unreachable = false;
   engine.drainingSince = kForever;
-  engine.since = now();
+  engine.startedAt = now();
   EngineId id =
-      engine.store ? storeId() : EngineId{engine.host + "-" + std::to_string(engine.life)};
-  engine.model->restart(id, engine.life);
+      engine.isStore ? storeId() : EngineId{engine.host + "-" + std::to_string(engine.incarnation)};
+  engine.batchEngine->restart(id, engine.incarnation);
 }
 
-void RouterWorld::crash(RouterEngine& engine, Duration until) {
+void RouterWorld::crashEngine(RouterEngine& engine, Duration downtime) {
   if (!engine.alive) return;
   engine.alive = false;
-  ++engine.life;
-  endRuns([&](const RouterRun& run) { return run.engine == &engine; });
-  after(std::min(kCrashListed, until * 0.9), [&engine] { engine.listed = engine.alive; });
-  after(until, [this, &engine] { reborn(engine); });
+  ++engine.incarnation;
+  breakAttempts([&](const RouterAttempt& attempt) { return attempt.engine == &engine; });
+  scheduleAfter(std::min(kCrashListLag, downtime * 0.9),
+                [&engine] { engine.listed = engine.alive; });
+  scheduleAfter(downtime, [this, &engine] { restartEngine(engine); });
 }
 
-void RouterWorld::release(RouterEngine& engine) {
+void RouterWorld::replaceEngine(RouterEngine& engine) {
   if (!engine.alive || engine.draining) return;
   engine.draining = true;
-  after(kGrace, [this, &engine, life = engine.life] {
-    if (engine.life != life) return;
+  scheduleAfter(kDrainGrace, [this, &engine, incarnation = engine.incarnation] {
+    if (engine.incarnation != incarnation) return;
     engine.listed = false;
     engine.alive = false;
-    ++engine.life;
-    endRuns([&](const RouterRun& run) { return run.engine == &engine; });
-    after(seconds(1), [this, &engine] { reborn(engine); });
+    ++engine.incarnation;
+    breakAttempts([&](const RouterAttempt& attempt) { return attempt.engine == &engine; });
+    scheduleAfter(seconds(1), [this, &engine] { restartEngine(engine); });
   });
 }
 
-RouterEngine& RouterWorld::engineOf(const std::string& number) {
-  auto wanted = static_cast<std::size_t>(std::max(1, numberOf(number)));
-  return *engines_[std::min(wanted, engines_.size() - 1) - 1];
+RouterEngine& RouterWorld::engineByNumber(const std::string& number) {
+  auto position = static_cast<std::size_t>(std::max(1, numberOf(number)));
+  return *engines_[std::min(position, engines_.size() - 1) - 1];
 }
 
-void RouterWorld::releaseAll(Duration gap) {
+void RouterWorld::replaceAllEngines(Duration gap) {
   Duration wait{};
   for (auto& engine : engines_) {
-    if (engine->store) continue;
-    after(wait, [this, &engine = *engine] { release(engine); });
+    if (engine->isStore) continue;
+    scheduleAfter(wait, [this, &engine = *engine] { replaceEngine(engine); });
     wait = wait + gap;
   }
 }
 
-bool RouterWorld::actOnEngine(const Action& action) {
+bool RouterWorld::runEngineAction(const Action& action) {
   const auto& words = action.words;
   switch (action.verb) {
     case Verb::kCrash:
-      crash(engineOf(words[0]), seconds(words.size() > 1 ? std::atof(words[1].c_str()) : 6));
+      crashEngine(engineByNumber(words[0]),
+                  seconds(words.size() > 1 ? std::atof(words[1].c_str()) : 6));
       return true;
     case Verb::kDark: {
-      RouterEngine& engine = engineOf(words[0]);
-      engine.dark = true;
-      after(seconds(std::atof(words[1].c_str())), [&engine] { engine.dark = false; });
+      RouterEngine& engine = engineByNumber(words[0]);
+      engine.unreachable = true;
+      scheduleAfter(seconds(std::atof(words[1].c_str())),
+                    [&engine] { engine.unreachable = false; });
       return true;
     }
     case Verb::kLight:
-      engineOf(words[0]).dark = false;
+      engineByNumber(words[0]).unreachable = false;
       return true;
     case Verb::kReleaseOne:
-      release(engineOf(words[0]));
+      replaceEngine(engineByNumber(words[0]));
       return true;
     case Verb::kGarble:
-      engineOf(words[0]).garble = words[1] == "off" ? "" : words[1];
+      engineByNumber(words[0]).responseFault = words[1] == "off" ? "" : words[1];
       return true;
     case Verb::kSlow:
-      engineOf(words[0]).slow = std::atof(words[1].c_str());
+      engineByNumber(words[0]).slowdown = std::atof(words[1].c_str());
       return true;
     default:
       return false;
   }
 }
 
-bool RouterWorld::actOnAllEngines(const Action& action) {
+bool RouterWorld::runAllEnginesAction(const Action& action) {
   const auto& words = action.words;
   switch (action.verb) {
     case Verb::kRelease:
-      releaseAll(seconds(std::atof(words[0].c_str())));
+      replaceAllEngines(seconds(std::atof(words[0].c_str())));
       return true;
     case Verb::kLinks:
       for (auto& engine : engines_)
-        engine->model->options().linkMbps = BatchOptions{}.linkMbps * std::atof(words[0].c_str());
+        engine->batchEngine->options().linkMbps =
+            BatchOptions{}.linkMbps * std::atof(words[0].c_str());
       return true;
     case Verb::kEvents:
       for (auto& engine : engines_)
-        engine->model->options().eventsLost = std::atof(words[0].c_str());
+        engine->batchEngine->options().eventLossRate = std::atof(words[0].c_str());
       return true;
     case Verb::kStore:
       if (words[0] == "lost") engines_.back()->alive = false;
-      else reborn(*engines_.back());
+      else restartEngine(*engines_.back());
       return true;
     case Verb::kList:
-      listDown_ = words[0] == "off";
-      listedSince_ = now();
+      listUnavailable_ = words[0] == "off";
+      listAvailableSince_ = now();
       return true;
     default:
       return false;
   }
 }
 
-bool RouterWorld::actAsOperator(const Action& action) {
+bool RouterWorld::runOperatorAction(const Action& action) {
   const auto& words = action.words;
   switch (action.verb) {
     case Verb::kAmend:
-      operators_->amend();
+      operators_->queueAmendment();
       return true;
     case Verb::kStorm:
-      for (int index = 0; index < numberOf(words[0]); ++index) operators_->amend();
+      for (int index = 0; index < numberOf(words[0]); ++index) operators_->queueAmendment();
       return true;
     case Verb::kSwap:
-      operators_->swap();
+      operators_->queueReplacement();
       return true;
     case Verb::kRace:
-      operators_->race();
+      operators_->queueRace();
       return true;
     case Verb::kInvalid:
-      operators_->invalid();
+      operators_->queueInvalidChange();
       return true;
     case Verb::kVersion:
-      operators_->nameVersion(words[0]);
+      operators_->queueModelVersion(words[0]);
       return true;
     case Verb::kWithdraw:
-      operators_->withdraw(words[0]);
+      operators_->queueKeyWithdrawal(words[0]);
       return true;
     default:
       return false;
   }
 }
 
-void RouterWorld::act(const Action& action) {
-  if (actOnEngine(action) || actOnAllEngines(action) || actAsOperator(action)) return;
-  if (action.verb == Verb::kTraffic) clients_->traffic(std::atof(action.words[0].c_str()));
-  else actOnMachines(action.verb, action.words);
+void RouterWorld::runAction(const Action& action) {
+  if (runEngineAction(action) || runAllEnginesAction(action) || runOperatorAction(action)) return;
+  if (action.verb == Verb::kTraffic) clients_->setTrafficFactor(std::atof(action.words[0].c_str()));
+  else runMachineAction(action.verb, action.words);
 }
 
 }  // namespace peppergate
--- a/src/sim/router_scenario.cc
+++ b/src/sim/router_scenario.cc
@@ -7,13 +7,13 @@
 namespace peppergate {
 namespace {
 
-constexpr Duration kSettling = seconds(16);
+constexpr Duration kTrafficAfterLastAction = seconds(16);
 
-bool readHead(const std::string& word, const std::string& value, RouterScenario& scenario) {
+bool readHeader(const std::string& word, const std::string& value, RouterScenario& scenario) {
   double number = 0;
   if (!readNumber(value, number) || number < 0) return false;
-  if (word == "fenced") scenario.fenced = number > 0;
-  else if (word == "events-lost" && number <= 1) scenario.eventsLost = number;
+  if (word == "fenced") scenario.checksFencingToken = number > 0;
+  else if (word == "events-lost" && number <= 1) scenario.eventLossRate = number;
   else return false;
   return true;
 }
@@ -25,10 +25,10 @@
   ScenarioDialect dialect;
   dialect.interface = Interface::kRouters;
   dialect.frontsWord = "routers";
-  dialect.earliest = MonotonicTime{} - kRouterWarmUp;
-  dialect.settling = kSettling;
-  dialect.head = [&scenario](const std::string& word, const std::string& value) {
-    return readHead(word, value, scenario);
+  dialect.earliestAction = MonotonicTime{} - kRouterWarmUp;
+  dialect.trafficAfterLastAction = kTrafficAfterLastAction;
+  dialect.readHeader = [&scenario](const std::string& word, const std::string& value) {
+    return readHeader(word, value, scenario);
   };
   if (absl::Status status = readScenario(text, dialect, scenario); !status.ok()) return status;
   if (scenario.engines < 2) return scenarioError(0, "a fleet of routers needs two engines");
@@ -38,12 +38,12 @@
 std::string RouterScenario::text() const {
   std::ostringstream text;
   text << "name " << name << "\nrouters " << fronts << "\ncores " << cores << "\nspares " << spares
-       << "\nengines " << engines << "\nrequests " << requests << "\nfenced " << fenced
-       << "\nevents-lost " << eventsLost << "\nsettles " << settles << "\nrun " << inSeconds(run)
-       << "s\n";
+       << "\nengines " << engines << "\nrequests " << requestsPerSecond << "\nfenced "
+       << checksFencingToken << "\nevents-lost " << eventLossRate << "\nsettles "
+       << servedAfterFaults << "\nrun " << inSeconds(run) << "s\n";
   if (startSpread > Duration{}) text << "start-spread " << inSeconds(startSpread) << "s\n";
   for (const auto& [prop, value] : options) text << "prop " << prop << " " << value << "\n";
-  return text.str() + linesOf(*this, Interface::kRouters);
+  return text.str() + formatScenarioLines(*this, Interface::kRouters);
 }
 
 }  // namespace peppergate
--- a/src/sim/router_scenario.h
+++ b/src/sim/router_scenario.h
@@ -15,11 +15,11 @@
 struct RouterScenario : FleetScenario {
   RouterScenario() {
     cores = 3;
-    requests = 40;
+    requestsPerSecond = 40;
     run = seconds(30);
   }
-  bool fenced = true;        // engines decline load orders with a lower fencing token
-  double eventsLost = 0.02;  // share of the engines' cache events that are lost
+  bool checksFencingToken = true;  // engines decline load orders with a lower fencing token
+  double eventLossRate = 0.02;     // share of the engines' cache events that are lost
   /// The scenario as a file, in which form a failing random scenario is kept.
   std::string text() const;
 };
@@ -27,7 +27,7 @@
 /// Reads a scenario; an error names its line.
 absl::StatusOr<RouterScenario> parseRouterScenario(std::string_view text);
 /// Generates a random scenario with two or three faults at once.
-RouterScenario drawRouterDay(std::uint64_t seed);
+RouterScenario generateRouterScenario(std::uint64_t seed);
 
 /// The result of one scenario under one seed.
 struct RouterReport {
@@ -38,6 +38,6 @@
 };
 
 /// Runs a scenario under a seed; the same seed replays exactly.
-RouterReport runRouters(const RouterScenario& scenario, std::uint64_t seed);
+RouterReport runRouterScenario(const RouterScenario& scenario, std::uint64_t seed);
 
 }  // namespace peppergate
--- a/src/sim/router_world.cc
+++ b/src/sim/router_world.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kTick = milliseconds(50);
 constexpr Duration kClientTick = milliseconds(10);
-constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and recovery
+constexpr Duration kTimeAfterTraffic = seconds(14);  // for the last deadlines and recovery
 
 Zone zoneOf(int number) { return {"zone" + std::to_string(number % 3 + 1)}; }
 
@@ -22,29 +22,29 @@
     : SimCluster(seed, MonotonicTime{} - kRouterWarmUp), scenario_(scenario) {
   options_.budgetSlack = 0;  // the checker tests the share alone
   for (const auto& [name, value] : scenario_.options) (void)setOption(options_, name, value);
-  options_.guardsOff = scenario_.guardsOff;
+  options_.disabledGuards = scenario_.disabledGuards;
   for (int number = 1; number <= scenario_.cores + scenario_.spares; ++number)
     addCore(number, zoneOf(number), number > scenario_.cores);
   for (int number = 1; number <= scenario_.fronts; ++number)
-    addProcess(Role::kFront, number, zoneOf(number));
+    addProcess(Role::kRouter, number, zoneOf(number));
   for (int number = 1; number <= std::min(3, scenario_.cores); ++number)
     seeds_.push_back(processOf(Role::kCore, number)->address);
   for (int number = 1; number <= scenario_.engines + 1; ++number) {
     auto engine = std::make_unique<RouterEngine>();
-    engine->store = number > scenario_.engines;
+    engine->isStore = number > scenario_.engines;
     bool small = number % 3 == 0;
-    engine->host = engine->store ? "store" : "engine" + std::to_string(number);
+    engine->host = engine->isStore ? "store" : "engine" + std::to_string(number);
     engine->address = {"10.0.2." + std::to_string(number) + ":8000"};
     engine->service = {small ? "small" : "large"};
     engine->modelName = {small ? "brief" : "deep"};
     engine->zone = zoneOf(number);
     BatchOptions options;
-    options.eventsLost = scenario_.eventsLost;
-    if (engine->store) options.kvTokens *= 8;
-    EngineId id = engine->store ? storeId() : EngineId{engine->host + "-1"};
-    engine->model = std::make_unique<BatchEngine>(options, id, random_.next());
-    if (!engine->store) engine->model->setVersion(engine->modelName, WeightsVersion{1});
-    engine->model->isolate({"walled1", "walled2"});
+    options.eventLossRate = scenario_.eventLossRate;
+    if (engine->isStore) options.kvTokens *= 8;
+    EngineId id = engine->isStore ? storeId() : EngineId{engine->host + "-1"};
+    engine->batchEngine = std::make_unique<BatchEngine>(options, id, random_.next());
+    if (!engine->isStore) engine->batchEngine->setVersion(engine->modelName, WeightsVersion{1});
+    engine->batchEngine->setIsolatedTenants({"walled1", "walled2"});
     engines_.push_back(std::move(engine));
   }
   checker_ = std::make_unique<RouterChecker>(*this);
@@ -54,7 +54,7 @@
 
 RouterWorld::~RouterWorld() = default;
 
-Json RouterWorld::firstConfig() const {
+Json RouterWorld::initialConfig() const {
   Json routes = Json::array();
   for (std::string service : {"large", "small"})
     for (const auto& route : kClientRoutes) {
@@ -80,7 +80,7 @@
                         {"engine",
                          {{"slots", options.slots},
                           {"kvTokens", options.kvTokens},
-                          {"kvTokenBytes", options.tokenBytes},
+                          {"kvTokenBytes", options.kvBytesPerToken},
                           {"linkMbps", options.linkMbps},
                           {"stride", options.stride},
                           {"largestPolls", 4},
@@ -90,8 +90,8 @@
   services.push_back({{"name", "kept"},
                       {"store", store.address.value},
                       {"zone", store.zone.value},
-                      {"kvTokens", store.model->options().kvTokens},
-                      {"linkMbps", store.model->options().linkMbps},
+                      {"kvTokens", store.batchEngine->options().kvTokens},
+                      {"linkMbps", store.batchEngine->options().linkMbps},
                       {"largestPolls", 4}});
   Json tenants = Json::array();
   for (std::string name : {"first", "second", "third", "walled1", "walled2"})
@@ -103,20 +103,20 @@
   return {{"version", 1}, {"routes", routes}, {"services", services}, {"tenants", tenants}};
 }
 
-bool RouterWorld::inTouch(const RouterProcess& process, Duration since) {
+bool RouterWorld::isUndisturbed(const RouterProcess& process, Duration duration) {
   RouterProcess* primary = leader();
   return process.alive && !process.frozen && primary != nullptr &&
          reachable(process.host, primary->host) && reachable(primary->host, process.host) &&
-         !network_.hangs(process.host, primary->host) && process.slowness == 0 &&
-         now() - process.disturbed > since && now() - coreDisturbed() > since;
+         !network_.isStalled(process.host, primary->host) && process.eventCostMilliseconds == 0 &&
+         now() - process.disturbedAt > duration && now() - coreDisturbedAt() > duration;
 }
 
 std::unique_ptr<Node> RouterWorld::makeNode(SimProcess& process, const MemberRecord& self,
-                                            const DiskFound& found, const Bootstrap& bootstrap) {
+                                            const DiskContents& found, const Bootstrap& bootstrap) {
   if (process.role == Role::kCore) {
     auto core = std::make_unique<CoreNode>(options_, self, seeds_, found, random_.next(),
-                                           process.local(now()), bootstrap);
-    core->takeEngineDuties();
+                                           process.localTime(now()), bootstrap);
+    core->enableEngineDuties();
     return core;
   }
   std::map<Zone, std::string> regions;
@@ -124,42 +124,42 @@
   return std::make_unique<RouterNode>(options_, self, seeds_, regions, random_.next());
 }
 
-bool RouterWorld::closed(const RouterProcess& process) const {
-  return process.stopping && process.node->drained(process.local(now()));
+bool RouterWorld::hasClosedListener(const RouterProcess& process) const {
+  return process.stopping && process.node->drained(process.localTime(now()));
 }
 
-bool RouterWorld::hasEnded(const SimProcess& process) const {
+bool RouterWorld::mayExit(const SimProcess& process) const {
   // A router's process ends after its last open request, as the daemon does; a core's at once.
-  bool drained = process.node->drained(process.local(now()));
-  return drained && (process.role != Role::kFront || process.router().live() == 0);
+  bool drained = process.node->drained(process.localTime(now()));
+  return drained && (process.role != Role::kRouter || process.router().activeRequests() == 0);
 }
 
-void RouterWorld::frameUnreadable(const std::string& host) {
+void RouterWorld::handleUnreadableFrame(const std::string& host) {
   checker_->fail("frame-unreadable", host);
 }
 
 void RouterWorld::tickAll() {
   tickProcesses();
   for (auto& engine : engines_) {
-    engine->model->tick(now());
-    if (engine->model->cuts())
-      endRuns([&](const RouterRun& run) { return run.engine == engine.get(); });
+    engine->batchEngine->tick(now());
+    if (engine->batchEngine->loadAbortsRuns())
+      breakAttempts([&](const RouterAttempt& attempt) { return attempt.engine == engine.get(); });
   }
-  noteList();
+  recordEngineList();
   operators_->tick();
 }
 
 void RouterWorld::run() {
   startAll(scenario_.startSpread);
   for (const auto& action : scenario_.actions)
-    queue_.at(action.at, [this, &action] { act(action); });
-  queue_.every(kTick, [this] { tickAll(); });
-  queue_.every(kClientTick, [this] { clients_->tick(); });
-  queue_.runUntil(MonotonicTime{} + scenario_.run + kAfterRun);
+    queue_.scheduleAt(action.at, [this, &action] { runAction(action); });
+  queue_.scheduleEvery(kTick, [this] { tickAll(); });
+  queue_.scheduleEvery(kClientTick, [this] { clients_->tick(); });
+  queue_.runUntil(MonotonicTime{} + scenario_.run + kTimeAfterTraffic);
   checker_->finish();
 }
 
-RouterReport runRouters(const RouterScenario& scenario, std::uint64_t seed) {
+RouterReport runRouterScenario(const RouterScenario& scenario, std::uint64_t seed) {
   RouterWorld world(scenario, seed);
   world.run();
   return {scenario.name, seed, world.checker().failures(), world.checker().figures()};
--- a/src/sim/router_world.h
+++ b/src/sim/router_world.h
@@ -24,31 +24,31 @@
   ServiceName service;
   ModelName modelName;
   Zone zone;
-  std::unique_ptr<BatchEngine> model;
-  bool alive = true, listed = true, draining = false, dark = false, store = false;
-  std::string garble;  // fault of its responses, as the scenario names it; empty: none
-  double slow = 1;
-  std::uint64_t life = 1;
+  std::unique_ptr<BatchEngine> batchEngine;
+  bool alive = true, listed = true, draining = false, unreachable = false, isStore = false;
+  std::string responseFault;  // fault of its responses, as the scenario names it; empty: none
+  double slowdown = 1;
+  std::uint64_t incarnation = 1;
   MonotonicTime drainingSince = kForever;  // when readers of the list could first see it
-  MonotonicTime since{};                   // when it last started
+  MonotonicTime startedAt{};               // when it last started
 };
 
 /// One attempt of a router at an engine.
-struct RouterRun {
+struct RouterAttempt {
   RouterProcess* process = nullptr;
-  std::uint64_t processLife = 0;
-  OpenAttempt open;
-  RequestArrived asked;
+  std::uint64_t processIncarnation = 0;
+  OpenAttempt command;
+  RequestArrived arrival;
   RouterEngine* engine = nullptr;
-  std::uint64_t engineLife = 0;
-  BatchRun run;
-  bool taken = false;  // the engine accepted it and has not ended it yet
-  bool over = false;   // nothing more reaches the router
-  bool garbles = false;
-  int events = 0;
-  MonotonicTime lastTurn{};  // when the last event arrives; later ones keep the order
+  std::uint64_t engineIncarnation = 0;
+  BatchRun engineRun;
+  bool running = false;  // the engine accepted it and has not ended it yet
+  bool closed = false;   // nothing more reaches the router
+  bool faulty = false;
+  int sentEvents = 0;
+  MonotonicTime lastDelivery{};  // when the last event arrives; later ones keep the order
   bool paused = false;
-  std::vector<AttemptTurned> waiting;  // events held back while it is paused
+  std::vector<AttemptEvent> heldEvents;  // events held back while it is paused
 };
 
 class RouterClients;
@@ -71,27 +71,29 @@
   std::vector<std::unique_ptr<RouterEngine>>& engines() { return engines_; }
 
   /// The configuration that operators send first.
-  Json firstConfig() const;
+  Json initialConfig() const;
   /// Whether a process is connected to the leader, and neither it nor the core machines were
   /// disturbed for longer than a given time.
-  bool inTouch(const RouterProcess& process, Duration since);
+  bool isUndisturbed(const RouterProcess& process, Duration duration);
   /// Whether a router that was told to stop accepts no new connections any more.
-  bool closed(const RouterProcess& process) const;
+  bool hasClosedListener(const RouterProcess& process) const;
   /// Since when the platform's list is available; kForever while it isn't.
-  MonotonicTime listedSince() const { return listDown_ ? kForever : listedSince_; }
+  MonotonicTime listAvailableSince() const {
+    return listUnavailable_ ? kForever : listAvailableSince_;
+  }
 
  private:
   friend struct RouterCommandRunner;
-  using RunPointer = std::shared_ptr<RouterRun>;
+  using AttemptPointer = std::shared_ptr<RouterAttempt>;
   void tickAll();
   // Implementation of the cluster's interface.
-  std::string frontWord() const override { return "router"; }
+  std::string routerWord() const override { return "router"; }
   std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
-                                 const DiskFound& found, const Bootstrap& bootstrap) override;
+                                 const DiskContents& found, const Bootstrap& bootstrap) override;
   Bootstrap bootstrapOf(const SimProcess&) const override { return {true, seeds_, 0}; }
-  void processEnded(SimProcess& process, bool planned) override;
-  void frameUnreadable(const std::string& host) override;
-  bool hasEnded(const SimProcess& process) const override;
+  void handleProcessEnd(SimProcess& process, bool planned) override;
+  void handleUnreadableFrame(const std::string& host) override;
+  bool mayExit(const SimProcess& process) const override;
   void reload(SimProcess& process) override { process.node->reload(options_); }
   Duration graceTime() const override { return options_.graceTime; }
   // Commands, in router_commands.cc.
@@ -99,43 +101,45 @@
   void listEngines(RouterProcess& process, const ListEngines& command);
   template <class Answer>
   void callEngine(RouterProcess& process, const Address& address, Duration timeout,
-                  MonotonicTime writeBefore, Answer none, std::function<Answer(RouterEngine&)> ask);
+                  MonotonicTime writeBefore, Answer failure,
+                  std::function<Answer(RouterEngine&)> handler);
   // Attempts, in router_attempts.cc.
   void openAttempt(RouterProcess& process, const OpenAttempt& command);
   void pauseAttempt(RouterProcess& process, const PauseAttempt& command);
-  void cancelAttempt(RouterProcess& process, AttemptId attempt);
-  void arrive(const RunPointer& run);
-  void answerWhole(const RunPointer& run);
-  void streamNext(const RunPointer& run);
-  void leaveEngine(const RunPointer& run);
-  void breakOff(const RunPointer& run);
-  void declineRun(const RunPointer& run, BatchVerdict verdict);
-  void turn(const RunPointer& run, AttemptTurned turned);
-  AttemptTurned headOf(const RunPointer& run, int status, bool success) const;
-  void endRuns(const std::function<bool(const RouterRun&)>& which);
+  void cancelAttempt(RouterProcess& process, AttemptId id);
+  void beginRun(const AttemptPointer& attempt);
+  void sendWholeResponse(const AttemptPointer& attempt);
+  void sendNextEvent(const AttemptPointer& attempt);
+  void endRun(const AttemptPointer& attempt);
+  void breakConnection(const AttemptPointer& attempt);
+  void declineAttempt(const AttemptPointer& attempt, BatchAdmission admission);
+  void sendAttemptEvent(const AttemptPointer& attempt, AttemptEvent event);
+  AttemptEvent responseHead(const AttemptPointer& attempt, int status, bool success) const;
+  void breakAttempts(const std::function<bool(const RouterAttempt&)>& affected);
   // Engines and their list.
-  RouterEngine* engineAt(const Address& address);
-  void noteList();
-  void reborn(RouterEngine& engine);
+  RouterEngine* engineByAddress(const Address& address);
+  void recordEngineList();
+  void restartEngine(RouterEngine& engine);
   // Actions, in router_faults.cc.
-  void act(const Action& action);
-  bool actOnEngine(const Action& action);
-  bool actOnAllEngines(const Action& action);
-  bool actAsOperator(const Action& action);
-  RouterEngine& engineOf(const std::string& number);
-  void crash(RouterEngine& engine, Duration until);
-  void release(RouterEngine& engine);
-  void releaseAll(Duration gap);
+  void runAction(const Action& action);
+  bool runEngineAction(const Action& action);
+  bool runAllEnginesAction(const Action& action);
+  bool runOperatorAction(const Action& action);
+  RouterEngine& engineByNumber(const std::string& number);
+  void crashEngine(RouterEngine& engine, Duration downtime);
+  void replaceEngine(RouterEngine& engine);
+  void replaceAllEngines(Duration gap);
 
   RouterScenario scenario_;
   Options options_;
   std::vector<std::unique_ptr<RouterEngine>> engines_;  // the store last
-  bool listDown_ = false;
-  MonotonicTime listedSince_{};
-  std::deque<std::pair<MonotonicTime, std::vector<Engine>>> lists_;  // past lists of the platform
+  bool listUnavailable_ = false;
+  MonotonicTime listAvailableSince_{};
+  std::deque<std::pair<MonotonicTime, std::vector<Engine>>>
+      engineLists_;  // past lists of the platform
   std::deque<MonotonicTime> listCalls_;
-  std::map<std::pair<const RouterProcess*, std::uint64_t>, RunPointer> runs_;  // by attempt
-  std::vector<std::weak_ptr<RouterRun>> allRuns_;
+  std::map<std::pair<const RouterProcess*, std::uint64_t>, AttemptPointer> attempts_;  // by attempt
+  std::vector<std::weak_ptr<RouterAttempt>> allAttempts_;
   std::unique_ptr<RouterChecker> checker_;
   std::unique_ptr<RouterClients> clients_;
   std::unique_ptr<RouterOperators> operators_;
--- a/src/sim/scenario_reader.cc
+++ b/src/sim/scenario_reader.cc
@@ -41,12 +41,12 @@
 }
 
 /// Parses the lines of one file.
-class Reader {
+class ScenarioParser {
  public:
-  Reader(const ScenarioDialect& dialect, FleetScenario& scenario)
+  ScenarioParser(const ScenarioDialect& dialect, FleetScenario& scenario)
       : dialect_(dialect), scenario_(scenario) {}
 
-  absl::Status read(std::string_view text) {
+  absl::Status parse(std::string_view text) {
     std::istringstream lines{std::string(text)};
     std::string line;
     while (std::getline(lines, line)) {
@@ -57,126 +57,128 @@
       if (words.empty()) continue;
       if (absl::Status status = readLine(words); !status.ok()) return status;
     }
-    return judgeWhole();
+    return checkScenario();
   }
 
  private:
-  absl::Status wrong(const std::string& what) const { return scenarioError(line_, what); }
+  absl::Status lineError(const std::string& what) const { return scenarioError(line_, what); }
 
   absl::Status readLine(const Words& words) {
     if (words[0] == "at") return readAction(words);
     if (words[0] == "expect") return readExpectation(words);
-    return readHead(words);
+    return readHeader(words);
   }
 
   absl::Status readAction(const Words& words) {
     Action action;
     action.line = line_;
     Duration at;
-    if (words.size() < 3 || !readTime(words[1], at)) return wrong("'at' needs a time and a verb");
+    if (words.size() < 3 || !readTime(words[1], at))
+      return lineError("'at' needs a time and a verb");
     action.at = MonotonicTime{} + at;
-    if (action.at < dialect_.earliest) return wrong("action before the warm-up");
+    if (action.at < dialect_.earliestAction) return lineError("action before the warm-up");
     auto rows = verbsOf(dialect_.interface);
     auto row = std::ranges::find(rows, words[2], &VerbRow::word);
-    if (row == rows.end()) return wrong("unknown verb '" + words[2] + "'");
+    if (row == rows.end()) return lineError("unknown verb '" + words[2] + "'");
     action.verb = row->verb;
     action.words.assign(words.begin() + 3, words.end());
-    if (action.words.size() < row->least || action.words.size() > row->most)
-      return wrong("'" + words[2] + "' has the wrong number of words");
+    if (action.words.size() < row->minWords || action.words.size() > row->maxWords)
+      return lineError("'" + words[2] + "' has the wrong number of words");
     if (!row->targets.empty())
-      if (absl::Status status = judgeTarget(*row, action.words); !status.ok()) return status;
+      if (absl::Status status = checkTarget(*row, action.words); !status.ok()) return status;
     if (!scenario_.actions.empty() && action.at < scenario_.actions.back().at)
-      return wrong("time out of order");
+      return lineError("time out of order");
     scenario_.actions.push_back(std::move(action));
     return absl::OkStatus();
   }
 
-  absl::Status judgeTarget(const VerbRow& row, const Words& words) const {
+  absl::Status checkTarget(const VerbRow& row, const Words& words) const {
     char kind = targetKind(words[0]);
     if (row.targets.find(kind) == std::string_view::npos)
-      return wrong("'" + std::string(row.word) + "' can't be done to '" + words[0] + "'");
+      return lineError("'" + std::string(row.word) + "' can't be done to '" + words[0] + "'");
     if (kind != 'c' && kind != 'f' && kind != 'e') return absl::OkStatus();
     double number = 0;
     if (words.size() < 2 || !readNumber(words[1], number))
-      return wrong("'" + words[0] + "' needs its number");
-    int most = kind == 'c'   ? scenario_.cores + scenario_.spares
-               : kind == 'f' ? scenario_.fronts
-                             : scenario_.engines;
-    if (number < 1 || number > most) return wrong("there is no " + words[0] + " " + words[1]);
+      return lineError("'" + words[0] + "' needs its number");
+    int count = kind == 'c'   ? scenario_.cores + scenario_.spares
+                : kind == 'f' ? scenario_.fronts
+                              : scenario_.engines;
+    if (number < 1 || number > count) return lineError("there is no " + words[0] + " " + words[1]);
     return absl::OkStatus();
   }
 
   absl::Status readExpectation(const Words& words) {
     Expectation expectation;
     expectation.line = line_;
-    if (words.size() < 2) return wrong("'expect' needs a word");
-    auto rows = wantedOf(dialect_.interface);
-    auto row = std::ranges::find(rows, words[1], &WantedRow::word);
-    if (row == rows.end()) return wrong("unknown expectation '" + words[1] + "'");
-    expectation.wanted = row->wanted;
+    if (words.size() < 2) return lineError("'expect' needs a word");
+    auto rows = expectationsOf(dialect_.interface);
+    auto row = std::ranges::find(rows, words[1], &ExpectationRow::word);
+    if (row == rows.end()) return lineError("unknown expectation '" + words[1] + "'");
+    expectation.kind = row->kind;
     std::size_t at = 2;
-    if (row->number && (at >= words.size() || !readNumber(words[at++], expectation.number)))
-      return wrong("'" + words[1] + "' needs a number");
-    if (row->wanted == Wanted::kDeclinedAs && at < words.size()) expectation.word = words[at++];
+    if (row->takesNumber && (at >= words.size() || !readNumber(words[at++], expectation.number)))
+      return lineError("'" + words[1] + "' needs a number");
+    if (row->kind == ExpectationKind::kDeclinedAs && at < words.size())
+      expectation.word = words[at++];
     for (; at + 1 < words.size(); at += 2) {
       Duration time;
       if (!readTime(words[at + 1], time) || time < Duration{})
-        return wrong("'" + words[at + 1] + "' is not a time");
+        return lineError("'" + words[at + 1] + "' is not a time");
       if (words[at] == "from") expectation.from = MonotonicTime{} + time;
       else if (words[at] == "to" || words[at] == "at") expectation.to = MonotonicTime{} + time;
-      else return wrong("unknown word '" + words[at] + "'");
+      else return lineError("unknown word '" + words[at] + "'");
     }
-    if (at < words.size()) return wrong("unknown word '" + words[at] + "'");
+    if (at < words.size()) return lineError("unknown word '" + words[at] + "'");
     if (expectation.to != kForever && expectation.to < expectation.from)
-      return wrong("expectation ends before it begins");
+      return lineError("expectation ends before it begins");
     scenario_.expectations.push_back(expectation);
     return absl::OkStatus();
   }
 
-  absl::Status readHead(const Words& words) {
+  absl::Status readHeader(const Words& words) {
     if (words[0] == "prop") {
       Options options;
       if (words.size() != 3 || !setOption(options, words[1], words[2]).ok())
-        return wrong("'prop' needs a known name and a number");
+        return lineError("'prop' needs a known name and a number");
       scenario_.options.emplace_back(words[1], words[2]);
       return absl::OkStatus();
     }
-    if (words.size() != 2) return wrong("'" + words[0] + "' needs one word");
+    if (words.size() != 2) return lineError("'" + words[0] + "' needs one word");
     if (words[0] == "name") {
       scenario_.name = words[1];
       return absl::OkStatus();
     }
     if (words[0] == "without") {
-      auto guard = std::ranges::find(kGuardNames, words[1]);
-      if (guard == kGuardNames.end()) return wrong("unknown guard '" + words[1] + "'");
-      scenario_.guardsOff |= 1U << static_cast<unsigned>(guard - kGuardNames.begin());
+      auto guard = std::ranges::find(kSafetyGuardNames, words[1]);
+      if (guard == kSafetyGuardNames.end()) return lineError("unknown guard '" + words[1] + "'");
+      scenario_.disabledGuards |= 1U << static_cast<unsigned>(guard - kSafetyGuardNames.begin());
       return absl::OkStatus();
     }
     if (words[0] == "run" || words[0] == "start-spread") {
       Duration& time = words[0] == "run" ? scenario_.run : scenario_.startSpread;
       if (readTime(words[1], time) && time >= Duration{}) return absl::OkStatus();
-      return wrong("'" + words[1] + "' is not a time");
+      return lineError("'" + words[1] + "' is not a time");
     }
-    if (dialect_.head(words[0], words[1])) return absl::OkStatus();
-    return readNumberOf(words);
+    if (dialect_.readHeader(words[0], words[1])) return absl::OkStatus();
+    return readNumberHeader(words);
   }
 
-  absl::Status readNumberOf(const Words& words) {
+  absl::Status readNumberHeader(const Words& words) {
     double number = 0;
     if (!readNumber(words[1], number) || number < 0)
-      return wrong("'" + words[0] + "' needs a number");
+      return lineError("'" + words[0] + "' needs a number");
     int count = static_cast<int>(number);
     if (words[0] == dialect_.frontsWord) scenario_.fronts = count;
     else if (words[0] == "cores") scenario_.cores = count;
     else if (words[0] == "spares") scenario_.spares = count;
     else if (words[0] == "engines") scenario_.engines = count;
-    else if (words[0] == "requests") scenario_.requests = number;
-    else if (words[0] == "settles") scenario_.settles = number;
-    else return wrong("unknown word '" + words[0] + "'");
+    else if (words[0] == "requests") scenario_.requestsPerSecond = number;
+    else if (words[0] == "settles") scenario_.servedAfterFaults = number;
+    else return lineError("unknown word '" + words[0] + "'");
     return absl::OkStatus();
   }
 
-  absl::Status judgeWhole() {
+  absl::Status checkScenario() {
     if (scenario_.name.empty()) return scenarioError(0, "a scenario needs a name");
     if (scenario_.expectations.empty())
       return scenarioError(0, "a scenario needs at least one expectation");
@@ -185,10 +187,10 @@
           0, "a fleet needs " + std::string(dialect_.frontsWord) + ", cores and engines");
     if (scenario_.actions.empty()) return absl::OkStatus();
     // Traffic continues long enough after the last fault to check that the fleet recovers.
-    Duration last = scenario_.actions.back().at - MonotonicTime{};
-    if (dialect_.endsActions && last > scenario_.run)
+    Duration lastActionTime = scenario_.actions.back().at - MonotonicTime{};
+    if (dialect_.rejectsLateActions && lastActionTime > scenario_.run)
       return scenarioError(scenario_.actions.back().line, "action after the end of the run");
-    scenario_.run = std::max(scenario_.run, last + dialect_.settling);
+    scenario_.run = std::max(scenario_.run, lastActionTime + dialect_.trafficAfterLastAction);
     return absl::OkStatus();
   }
 
@@ -197,7 +199,7 @@
   int line_ = 0;
 };
 
-std::string timeText(MonotonicTime at) {
+std::string formatTime(MonotonicTime at) {
   std::ostringstream text;
   text.precision(12);
   text << inSeconds(at - MonotonicTime{}) << "s";
@@ -211,43 +213,43 @@
 }
 
 bool readNumber(const std::string& text, double& number) {
-  auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), number);
-  return fault == std::errc{} && end == text.data() + text.size();
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  return error == std::errc{} && end == text.data() + text.size();
 }
 
 bool readTime(std::string text, Duration& time) {
   double number = 0;
-  bool before = text.starts_with("-");  // before the traffic begins
-  if (before) text.erase(0, 1);
+  bool isNegative = text.starts_with("-");  // before the traffic begins
+  if (isNegative) text.erase(0, 1);
   if (text.size() < 2 || !text.ends_with("s")) return false;
-  bool milli = text.ends_with("ms");
-  text.resize(text.size() - (milli ? 2 : 1));
+  bool isMilliseconds = text.ends_with("ms");
+  text.resize(text.size() - (isMilliseconds ? 2 : 1));
   if (!readNumber(text, number) || number < 0) return false;
   // Rounded, so that a time written from microseconds is read back unchanged.
-  time = Duration{std::llround(number * (milli ? 1e3 : 1e6) * (before ? -1 : 1))};
+  time = Duration{std::llround(number * (isMilliseconds ? 1e3 : 1e6) * (isNegative ? -1 : 1))};
   return true;
 }
 
 absl::Status readScenario(std::string_view text, const ScenarioDialect& dialect,
                           FleetScenario& scenario) {
-  return Reader(dialect, scenario).read(text);
+  return ScenarioParser(dialect, scenario).parse(text);
 }
 
-std::string linesOf(const FleetScenario& scenario, Interface interface) {
+std::string formatScenarioLines(const FleetScenario& scenario, Interface interface) {
   std::ostringstream text;
   for (const auto& action : scenario.actions) {
-    text << "at " << timeText(action.at) << " " << wordOf(action.verb, interface);
+    text << "at " << formatTime(action.at) << " " << wordOf(action.verb, interface);
     for (const auto& word : action.words) text << " " << word;
     text << "\n";
   }
   for (const auto& expectation : scenario.expectations) {
-    text << "expect " << wordOf(expectation.wanted, interface);
-    auto rows = wantedOf(interface);
-    auto row = std::ranges::find(rows, expectation.wanted, &WantedRow::wanted);
-    if (row != rows.end() && row->number) text << " " << expectation.number;
+    text << "expect " << wordOf(expectation.kind, interface);
+    auto rows = expectationsOf(interface);
+    auto row = std::ranges::find(rows, expectation.kind, &ExpectationRow::kind);
+    if (row != rows.end() && row->takesNumber) text << " " << expectation.number;
     if (!expectation.word.empty()) text << " " << expectation.word;
-    if (expectation.from > MonotonicTime{}) text << " from " << timeText(expectation.from);
-    if (expectation.to != kForever) text << " to " << timeText(expectation.to);
+    if (expectation.from > MonotonicTime{}) text << " from " << formatTime(expectation.from);
+    if (expectation.to != kForever) text << " to " << formatTime(expectation.to);
     text << "\n";
   }
   return text.str();
--- a/src/sim/scenario_reader.h
+++ b/src/sim/scenario_reader.h
@@ -24,7 +24,7 @@
 
 /// One line "expect WORD [NUMBER] [from TIME] [to TIME]", as in `expect served 0.9 from 20s`.
 struct Expectation {
-  Wanted wanted = Wanted::kClean;
+  ExpectationKind kind = ExpectationKind::kClean;
   double number = 0;
   std::string word;  // the second word, of expectations that take one
   MonotonicTime from{}, to = kForever;
@@ -38,12 +38,14 @@
   int cores = 4;
   int spares = 0;  // core machines that aren't started at first
   int engines = 6;
-  double requests = 30;
-  double settles = 0.9;    // share to be served from 12 s after the last fault on; 0: not checked
+  double requestsPerSecond = 30;
+  double servedAfterFaults =
+      0.9;                 // share to be served from 12 s after the last fault on; 0: not checked
   Duration startSpread{};  // machines first start within this time of each other, in any order
   Duration run = seconds(40);
   std::vector<std::pair<std::string, std::string>> options;
-  std::uint32_t guardsOff = 0;  // bit set of "without GUARD" lines, to show that each is needed
+  std::uint32_t disabledGuards =
+      0;  // bit set of "without GUARD" lines, to show that each is needed
   std::vector<Action> actions;
   std::vector<Expectation> expectations;
 };
@@ -52,18 +54,19 @@
 struct ScenarioDialect {
   Interface interface = Interface::kStreams;
   std::string_view frontsWord;  // "fronts" or "routers"
-  MonotonicTime earliest;
-  Duration settling;
-  bool endsActions = false;  // whether an action after the written end of the run is an error
+  MonotonicTime earliestAction;
+  Duration trafficAfterLastAction;
+  bool rejectsLateActions =
+      false;  // whether an action after the written end of the run is an error
   /// Reads a header line of two words that only this interface has; false if it has no such line.
-  std::function<bool(const std::string& word, const std::string& value)> head;
+  std::function<bool(const std::string& word, const std::string& value)> readHeader;
 };
 
 /// Reads a text into `scenario`, which holds the interface's defaults. An error names its line.
 absl::Status readScenario(std::string_view text, const ScenarioDialect& dialect,
                           FleetScenario& scenario);
 /// Formats the actions and expectations as lines of a scenario file.
-std::string linesOf(const FleetScenario& scenario, Interface interface);
+std::string formatScenarioLines(const FleetScenario& scenario, Interface interface);
 
 /// An error in a line; line 0 stands for the whole file.
 absl::Status scenarioError(int line, const std::string& what);
--- a/src/sim/scenario_words.cc
+++ b/src/sim/scenario_words.cc
@@ -7,19 +7,19 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kAnyNumber = 60;
+constexpr std::size_t kMaxWords = 60;
 
 constexpr auto kMachineVerbs = std::to_array<VerbRow>({
-    {"power", Verb::kPower, 1, 2, "cfpa"},    {"retire", Verb::kRetire, 1, 2, "cp"},
-    {"hup", Verb::kReload, 1, 2, "cfpa"},     {"wipe", Verb::kWipe, 1, 2, "cp"},
-    {"replace", Verb::kReplace, 1, 2, "cp"},  {"freeze", Verb::kFreeze, 1, 2, "cfpa"},
-    {"thaw", Verb::kThaw, 1, 2, "cfpa"},      {"throttle", Verb::kThrottle, 2, 3, "cfpa"},
-    {"leap", Verb::kLeap, 2, 3, "cfpa"},      {"disk", Verb::kDisk, 2, 4, "cpa"},
-    {"seeds", Verb::kSeeds, 1, 3, ""},        {"cut", Verb::kCut, 1, kAnyNumber, ""},
-    {"part", Verb::kPart, 2, kAnyNumber, ""}, {"oneway", Verb::kOneWay, 3, kAnyNumber, ""},
-    {"hang", Verb::kHang, 1, kAnyNumber, ""}, {"heal", Verb::kHeal, 0, 0, ""},
-    {"drop", Verb::kDrop, 1, 2, "cfpa"},      {"loss", Verb::kLoss, 1, 1, ""},
-    {"late", Verb::kLate, 1, 1, ""},          {"traffic", Verb::kTraffic, 1, 1, ""},
+    {"power", Verb::kPower, 1, 2, "cfpa"},   {"retire", Verb::kRetire, 1, 2, "cp"},
+    {"hup", Verb::kReload, 1, 2, "cfpa"},    {"wipe", Verb::kWipe, 1, 2, "cp"},
+    {"replace", Verb::kReplace, 1, 2, "cp"}, {"freeze", Verb::kFreeze, 1, 2, "cfpa"},
+    {"thaw", Verb::kThaw, 1, 2, "cfpa"},     {"throttle", Verb::kThrottle, 2, 3, "cfpa"},
+    {"leap", Verb::kLeap, 2, 3, "cfpa"},     {"disk", Verb::kDisk, 2, 4, "cpa"},
+    {"seeds", Verb::kSeeds, 1, 3, ""},       {"cut", Verb::kCut, 1, kMaxWords, ""},
+    {"part", Verb::kPart, 2, kMaxWords, ""}, {"oneway", Verb::kOneWay, 3, kMaxWords, ""},
+    {"hang", Verb::kHang, 1, kMaxWords, ""}, {"heal", Verb::kHeal, 0, 0, ""},
+    {"drop", Verb::kDrop, 1, 2, "cfpa"},     {"loss", Verb::kLoss, 1, 1, ""},
+    {"late", Verb::kLate, 1, 1, ""},         {"traffic", Verb::kTraffic, 1, 1, ""},
     {"storm", Verb::kStorm, 1, 1, ""},
 });
 
@@ -49,58 +49,59 @@
     {"withdraw", Verb::kWithdraw, 1, 1, ""}, {"list", Verb::kList, 1, 1, ""},
 });
 
-constexpr auto kStreamsWanted = std::to_array<WantedRow>({
-    {"clean", Wanted::kClean, false},
-    {"served", Wanted::kServed, true},
-    {"served-at-most", Wanted::kServedAtMost, true},
-    {"done", Wanted::kDone, true},
-    {"declined", Wanted::kDeclined, true},
-    {"fetched", Wanted::kFetched, true},
-    {"first-event", Wanted::kFirstEvent, true},
-    {"primary", Wanted::kPrimary, false},
-    {"no-primary", Wanted::kNoPrimary, false},
-    {"second-share", Wanted::kShare, true},
-    {"rung-changes", Wanted::kRungPace, true},
-    {"heal-bytes", Wanted::kBytes, true},
-    {"overshoot", Wanted::kOvershoot, true},
-    {"ranks", Wanted::kRanks, true},
-    {"others", Wanted::kOthers, true},
-    {"goodput", Wanted::kGoodput, true},
-    {"each-front", Wanted::kEachFront, true},
-    {"vouched", Wanted::kVouched, false},
-    {"not-vouched", Wanted::kNotVouched, false},
-    {"declined-as", Wanted::kDeclinedAs, true},
-    {"level-spread", Wanted::kLevelSpread, true},
-    {"yes-within", Wanted::kYes, true},
-    {"cut-streams", Wanted::kCut, true},
-    {"acknowledged-within", Wanted::kAcknowledged, true},
-    {"led-within", Wanted::kLed, true},
+constexpr auto kStreamsExpectations = std::to_array<ExpectationRow>({
+    {"clean", ExpectationKind::kClean, false},
+    {"served", ExpectationKind::kServed, true},
+    {"served-at-most", ExpectationKind::kServedAtMost, true},
+    {"done", ExpectationKind::kDone, true},
+    {"declined", ExpectationKind::kDeclined, true},
+    {"fetched", ExpectationKind::kFetched, true},
+    {"first-event", ExpectationKind::kFirstEvent, true},
+    {"primary", ExpectationKind::kPrimary, false},
+    {"no-primary", ExpectationKind::kNoPrimary, false},
+    {"second-share", ExpectationKind::kSecondShare, true},
+    {"rung-changes", ExpectationKind::kRungChanges, true},
+    {"heal-bytes", ExpectationKind::kHealBytes, true},
+    {"overshoot", ExpectationKind::kOvershoot, true},
+    {"ranks", ExpectationKind::kRanks, true},
+    {"others", ExpectationKind::kOtherTenantsServed, true},
+    {"goodput", ExpectationKind::kGoodput, true},
+    {"each-front", ExpectationKind::kEachFrontServed, true},
+    {"vouched", ExpectationKind::kVouched, false},
+    {"not-vouched", ExpectationKind::kNotVouched, false},
+    {"declined-as", ExpectationKind::kDeclinedAs, true},
+    {"level-spread", ExpectationKind::kLevelSpread, true},
+    {"yes-within", ExpectationKind::kMedianAcknowledgement, true},
+    {"cut-streams", ExpectationKind::kStaleStreams, true},
+    {"acknowledged-within", ExpectationKind::kAcknowledgedWithin, true},
+    {"led-within", ExpectationKind::kLedWithin, true},
 });
 
-constexpr auto kRouterWanted = std::to_array<WantedRow>({
-    {"clean", Wanted::kClean, false},
-    {"served", Wanted::kServed, true},
-    {"served-at-most", Wanted::kServedAtMost, true},
-    {"acknowledged", Wanted::kTaken, true},
-    {"versions", Wanted::kVersions, true},
-    {"kept", Wanted::kKept, true},
+constexpr auto kRouterExpectations = std::to_array<ExpectationRow>({
+    {"clean", ExpectationKind::kClean, false},
+    {"served", ExpectationKind::kServed, true},
+    {"served-at-most", ExpectationKind::kServedAtMost, true},
+    {"acknowledged", ExpectationKind::kAcknowledgedCount, true},
+    {"versions", ExpectationKind::kLoadOrders, true},
+    {"kept", ExpectationKind::kComputedTokensPerRun, true},
 });
 
 }  // namespace
 
 std::span<const VerbRow> verbsOf(Interface interface) {
-  static const auto kAll = [](std::span<const VerbRow> own) {
+  static const auto withMachineVerbs = [](std::span<const VerbRow> own) {
     std::vector<VerbRow> rows(own.begin(), own.end());
     rows.insert(rows.end(), kMachineVerbs.begin(), kMachineVerbs.end());
     return rows;
   };
-  static const std::vector<VerbRow> kStreams = kAll(kStreamsVerbs), kRouters = kAll(kRouterVerbs);
+  static const std::vector<VerbRow> kStreams = withMachineVerbs(kStreamsVerbs),
+                                    kRouters = withMachineVerbs(kRouterVerbs);
   return interface == Interface::kStreams ? kStreams : kRouters;
 }
 
-std::span<const WantedRow> wantedOf(Interface interface) {
-  if (interface == Interface::kStreams) return kStreamsWanted;
-  return kRouterWanted;
+std::span<const ExpectationRow> expectationsOf(Interface interface) {
+  if (interface == Interface::kStreams) return kStreamsExpectations;
+  return kRouterExpectations;
 }
 
 std::string_view wordOf(Verb verb, Interface interface) {
@@ -109,9 +110,9 @@
   return row == rows.end() ? "" : row->word;
 }
 
-std::string_view wordOf(Wanted wanted, Interface interface) {
-  auto rows = wantedOf(interface);
-  auto row = std::ranges::find(rows, wanted, &WantedRow::wanted);
+std::string_view wordOf(ExpectationKind kind, Interface interface) {
+  auto rows = expectationsOf(interface);
+  auto row = std::ranges::find(rows, kind, &ExpectationRow::kind);
   return row == rows.end() ? "" : row->word;
 }
 
--- a/src/sim/scenario_words.h
+++ b/src/sim/scenario_words.h
@@ -76,14 +76,14 @@
 struct VerbRow {
   std::string_view word;
   Verb verb;
-  std::size_t least, most;  // words after it
+  std::size_t minWords, maxWords;  // words after it
   /// What its first word may name, one letter each: c core, f front or router, e engine, s store,
   /// p a role such as primary, a a group such as all. Empty: not checked.
   std::string_view targets;
 };
 
 /// What an expectation checks.
-enum class Wanted : std::uint8_t {
+enum class ExpectationKind : std::uint8_t {
   kClean,
   kServed,
   kServedAtMost,
@@ -93,40 +93,40 @@
   kFirstEvent,
   kPrimary,
   kNoPrimary,
-  kShare,
-  kRungPace,
-  kBytes,
+  kSecondShare,
+  kRungChanges,
+  kHealBytes,
   kOvershoot,
   kRanks,
-  kOthers,
+  kOtherTenantsServed,
   kGoodput,
-  kEachFront,
+  kEachFrontServed,
   kVouched,
   kNotVouched,
   kDeclinedAs,
   kLevelSpread,
-  kYes,
-  kCut,
-  kAcknowledged,
-  kLed,
-  kTaken,
-  kVersions,
-  kKept,
+  kMedianAcknowledgement,
+  kStaleStreams,
+  kAcknowledgedWithin,
+  kLedWithin,
+  kAcknowledgedCount,
+  kLoadOrders,
+  kComputedTokensPerRun,
 };
 
 /// A kind of expectation and the word for it.
-struct WantedRow {
+struct ExpectationRow {
   std::string_view word;
-  Wanted wanted;
-  bool number;  // a number follows
+  ExpectationKind kind;
+  bool takesNumber;  // a number follows
 };
 
 /// The verbs of one interface, including those of machines and the network, which both have.
 std::span<const VerbRow> verbsOf(Interface interface);
 /// The expectations of one interface.
-std::span<const WantedRow> wantedOf(Interface interface);
+std::span<const ExpectationRow> expectationsOf(Interface interface);
 /// The word for a verb or an expectation in one interface's scenarios; empty if it has none.
 std::string_view wordOf(Verb verb, Interface interface);
-std::string_view wordOf(Wanted wanted, Interface interface);
+std::string_view wordOf(ExpectationKind kind, Interface interface);
 
 }  // namespace peppergate
--- a/src/sim/schedule_drawer.h
+++ b/src/sim/schedule_drawer.h
@@ -24,20 +24,20 @@
 };
 
 /// Generates lines "at TIME VERB WORDS". Times are seconds from the start of traffic.
-class ScheduleDrawer {
+class ScheduleGenerator {
  public:
-  ScheduleDrawer(std::uint64_t seed, const ScheduleSize& size);
+  ScheduleGenerator(std::uint64_t seed, const ScheduleSize& size);
 
   /// Adds one to three faults at about one time; some begin at exactly the same time.
-  void drawMoment(double at);
+  void addFaults(double at);
   /// Adds a fault for the end of a schedule: all machines lose power or are killed, or as many as
   /// may be lost lose their disks, in some cases while all others lose power. A change is sent
   /// shortly before.
-  void drawClosing(double at);
+  void addClosingFault(double at);
   /// The lines in order of time.
   std::vector<std::string> lines() const;
   /// The time of the last line.
-  double last() const;
+  double lastTime() const;
   Random& random() { return random_; }
 
  private:
@@ -45,27 +45,27 @@
     double at;
     std::string words;
   };
-  using Trouble = void (ScheduleDrawer::*)(double at);
+  using FaultMethod = void (ScheduleGenerator::*)(double at);
 
   double between(double low, double high) { return low + (high - low) * random_.fraction(); }
   bool coin() { return random_.below(2) == 0; }
-  int pick(int most) {
-    return 1 + static_cast<int>(random_.below(static_cast<std::uint64_t>(most)));
+  int pickNumber(int count) {
+    return 1 + static_cast<int>(random_.below(static_cast<std::uint64_t>(count)));
   }
   template <std::size_t Size>
-  std::string one(const std::array<std::string_view, Size>& words) {
+  std::string pickOne(const std::array<std::string_view, Size>& words) {
     return std::string(words[random_.below(Size)]);
   }
-  void add(double at, const std::string& words) { lines_.push_back({at, words}); }
+  void addLine(double at, const std::string& words) { lines_.push_back({at, words}); }
   std::string anyCore();  // by number or by role
-  std::string coreNumber() { return "core " + std::to_string(pick(size_.cores)); }
-  std::string front();
-  std::string engine() { return "engine " + std::to_string(pick(size_.engines)); }
+  std::string coreNumber() { return "core " + std::to_string(pickNumber(size_.cores)); }
+  std::string anyFront();
+  std::string anyEngine() { return "engine " + std::to_string(pickNumber(size_.engines)); }
   void startCores(double from);
-  void deedNear(double at);
-  void deed(double at);
-  void streamsDeed(double at);
-  void routersDeed(double at);
+  void addChangeNear(double at);
+  void addChange(double at);
+  void addStreamsChange(double at);
+  void addRoutersChange(double at);
 
   // Faults of core machines; each adds nothing if too many machines would be lost at once.
   void coreKilled(double at);
@@ -85,7 +85,7 @@
   void allCoresKilled(double at);
   void allCoresWithoutPower(double at);
   void allWithoutPower(double at);
-  void seedsAway(double at);
+  void seedUnreachable(double at);
   void clocksLeap(double at);
   // Faults of fronts, engines and the network.
   void frontsKilled(double at);
@@ -98,9 +98,9 @@
 
   Random random_;
   ScheduleSize size_;
-  LossLedger ledger_;
+  MachineLossTracker lossTracker_;
   std::vector<Line> lines_;
-  int sparesUsed_ = 0;
+  int usedSpares_ = 0;
 };
 
 }  // namespace peppergate
--- a/src/sim/shrink.h
+++ b/src/sim/shrink.h
@@ -10,6 +10,6 @@
 /// check is a run; their number is limited.
 std::vector<std::string> shrinkLines(
     std::vector<std::string> lines,
-    const std::function<bool(const std::vector<std::string>&)>& fails, int mostRuns);
+    const std::function<bool(const std::vector<std::string>&)>& stillFails, int maxRuns);
 
 }  // namespace peppergate
--- a/src/sim/sim_cluster.cc
+++ b/src/sim/sim_cluster.cc
@@ -10,20 +10,22 @@
 namespace peppergate {
 namespace {
 
-constexpr std::size_t kMostHeld = 20000;                 // events
-constexpr Duration kToItself = Duration{1};              // latency of a message within one process
-constexpr Duration kLookWhenHanging = milliseconds(20);  // polling interval of stalled bytes
+constexpr std::size_t kMaxQueuedWhileFrozen = 20000;  // events
+constexpr Duration kLoopbackLatency = Duration{1};    // latency of a message within one process
+constexpr Duration kStallPollInterval = milliseconds(20);  // polling interval of stalled bytes
 constexpr Duration kTickPeriod = milliseconds(50);
-constexpr Duration kOneMoment = milliseconds(10);  // broadcasts within this time are one burst
-constexpr Duration kLookWhenFrozen = milliseconds(20);
-constexpr Duration kLookForDisk = milliseconds(200);  // how often a start retries
-constexpr Duration kLongestBacklog = seconds(5);  // of a slowed process; later messages are lost
+constexpr Duration kBurstWindow = milliseconds(10);  // broadcasts within this time are one burst
+constexpr Duration kFreezePollInterval = milliseconds(20);
+constexpr Duration kDiskPollInterval = milliseconds(200);  // how often a start retries
+constexpr Duration kMaxBacklogDelay = seconds(5);  // of a slowed process; later messages are lost
 constexpr std::uint64_t kFleetMark = 1;
 
-Duration costOf(const SimProcess& process) { return seconds(process.slowness / 1000); }
+Duration eventCost(const SimProcess& process) {
+  return seconds(process.eventCostMilliseconds / 1000);
+}
 
 /// Whether a process can start from a disk. A full one can be read, but not given an identity.
-bool readable(const SimDrive& drive) {
+bool isReadable(const SimDrive& drive) {
   if (drive.mode == DiskMode::kFull) return !drive.disk.empty();
   return drive.mode == DiskMode::kGood || drive.mode == DiskMode::kSlow;
 }
@@ -38,7 +40,7 @@
 SimProcess& SimCluster::addProcess(Role role, int number, const Zone& zone) {
   auto process = std::make_unique<SimProcess>();
   bool core = role == Role::kCore;
-  process->host = (core ? "core" : frontWord()) + std::to_string(number);
+  process->host = (core ? "core" : routerWord()) + std::to_string(number);
   process->address = {(core ? "10.0.0." : "10.0.1.") + std::to_string(number) + ":7100"};
   process->role = role;
   process->zone = zone;
@@ -49,7 +51,7 @@
 void SimCluster::addCore(int number, const Zone& zone, bool spare) {
   SimProcess& process = addProcess(Role::kCore, number, zone);
   process.spare = spare;
-  process.bootstraps = !spare;
+  process.mayBootstrap = !spare;
 }
 
 SimProcess* SimCluster::processAt(const Address& address) {
@@ -67,21 +69,23 @@
 SimProcess* SimCluster::leader() {
   for (auto& process : processes_) {
     if (!process->alive || process->frozen || process->role != Role::kCore) continue;
-    if (process->core().leadership().leads(process->local(now()))) return process.get();
+    if (process->core().leadership().hasLeaderLease(process->localTime(now())))
+      return process.get();
   }
   return nullptr;
 }
 
-void SimCluster::touch(SimProcess& process) {
-  process.disturbed = now();
-  if (process.role == Role::kCore) coreDisturbed_ = now();
+void SimCluster::noteDisturbance(SimProcess& process) {
+  process.disturbedAt = now();
+  if (process.role == Role::kCore) coreDisturbedAt_ = now();
 }
 
 void SimCluster::start(SimProcess& process) {
   if (process.alive || process.retired) return;
-  if (process.role == Role::kCore && !readable(process.drive)) {  // its loader would fail or block
-    after(kLookForDisk, [this, &process, life = process.life] {
-      if (process.life == life) start(process);
+  if (process.role == Role::kCore &&
+      !isReadable(process.drive)) {  // its loader would fail or block
+    scheduleAfter(kDiskPollInterval, [this, &process, incarnation = process.incarnation] {
+      if (process.incarnation == incarnation) start(process);
     });
     return;
   }
@@ -89,33 +93,33 @@
   process.spare = false;
   process.frozen = process.stopping = false;
   process.stoppedAt = kForever;
-  ++process.life;
-  touch(process);
+  ++process.incarnation;
+  noteDisturbance(process);
   // Boot clocks of different machines aren't comparable, only differences on one machine are.
   process.clock = seconds(1000 + 100000 * random_.fraction());
-  process.rate = 0.995 + 0.01 * random_.fraction();  // cheap clocks differ by about 1 %
+  process.clockRate = 0.995 + 0.01 * random_.fraction();  // cheap clocks differ by about 1 %
   MemberRecord self;
   self.member = {random_.next() >> 1};
-  self.address = self.pages = process.address;
+  self.address = self.pagesAddress = process.address;
   self.role = process.role;
   self.zone = process.zone;
-  DiskFound found;
+  DiskContents found;
   Bootstrap bootstrap;
   if (process.role == Role::kCore) {
-    bootstrap = process.bootstraps ? bootstrapOf(process) : Bootstrap{};
+    bootstrap = process.mayBootstrap ? bootstrapOf(process) : Bootstrap{};
     found = load(process, bootstrap);
   }
   process.node = makeNode(process, self, found, bootstrap);
 }
 
-DiskFound SimCluster::load(SimProcess& process, const Bootstrap& bootstrap) {
+DiskContents SimCluster::load(SimProcess& process, const Bootstrap& bootstrap) {
   SimDisk& disk = process.drive.disk;
-  DiskFound found{loadFiles(disk)};
-  if (identityOn(found).value == 0) {
+  DiskContents found{loadFiles(disk)};
+  if (readIdentity(found).value == 0) {
     // Only the first disk carries the founding configuration.
-    std::string identity =
-        identityFile({random_.next() >> 1}, process.born ? Bootstrap{} : bootstrap);
-    process.born = true;
+    std::string identity = identityFileContent({random_.next() >> 1},
+                                               process.diskInitialized ? Bootstrap{} : bootstrap);
+    process.diskInitialized = true;
     disk.truncate("identity");
     disk.append("identity", identity);
     found.files = loadFiles(disk);
@@ -130,21 +134,22 @@
   for (auto& process : processes_) {
     if (process->spare) continue;
     if (spread == Duration{}) start(*process);
-    else after(spread * random_.fraction(), [this, &process = *process] { start(process); });
+    else
+      scheduleAfter(spread * random_.fraction(), [this, &process = *process] { start(process); });
   }
 }
 
 void SimCluster::kill(SimProcess& process, bool planned) {
   if (!process.alive) return;
-  if (!planned || process.frozen) process.disturbed = now();
-  if (process.role == Role::kCore) coreDisturbed_ = now();
+  if (!planned || process.frozen) process.disturbedAt = now();
+  if (process.role == Role::kCore) coreDisturbedAt_ = now();
   process.alive = process.frozen = false;
-  process.held.clear();
+  process.queuedWhileFrozen.clear();
   process.backlog.clear();
   process.node.reset();
   process.diskTask.reset();
-  ++process.life;
-  processEnded(process, planned);
+  ++process.incarnation;
+  handleProcessEnd(process, planned);
 }
 
 void SimCluster::losePower(SimProcess& process) {
@@ -156,7 +161,7 @@
 void SimCluster::wipe(SimProcess& process) {
   kill(process);
   process.drive.disk.wipe();
-  process.bootstraps = false;
+  process.mayBootstrap = false;
 }
 
 void SimCluster::replace(SimProcess& process) {
@@ -164,7 +169,7 @@
   auto number = std::ranges::find(processes_, &process, &std::unique_ptr<SimProcess>::get) -
                 processes_.begin() + 1;
   process.address = {"10.0.9." + std::to_string(number) + ":" +
-                     std::to_string(7200 + process.life)};
+                     std::to_string(7200 + process.incarnation)};
   start(process);
 }
 
@@ -173,61 +178,63 @@
   process.stopping = true;  // a frozen process handles the signal only if it thaws in time
   process.stoppedAt = now();
   deliver(process, DrainRequest{});
-  if (process.role == Role::kCore) touch(process);
-  after(graceTime(), [this, &process, life = process.life] {
-    if (process.life == life) kill(process, true);
+  if (process.role == Role::kCore) noteDisturbance(process);
+  scheduleAfter(graceTime(), [this, &process, incarnation = process.incarnation] {
+    if (process.incarnation == incarnation) kill(process, true);
   });
 }
 
 void SimCluster::thaw(SimProcess& process) {
   if (!process.alive || !process.frozen) return;
   process.frozen = false;
-  touch(process);
-  for (const auto& what : std::exchange(process.held, {})) what();
+  noteDisturbance(process);
+  for (const auto& action : std::exchange(process.queuedWhileFrozen, {})) action();
 }
 
 void SimCluster::deliver(SimProcess& process, const Event& event) {
   if (!process.alive) return;
   if (process.frozen) {
-    if (std::holds_alternative<Ticked>(event) || process.held.size() >= kMostHeld) return;
-    process.held.push_back([this, &process, event] { deliver(process, event); });
+    if (std::holds_alternative<Tick>(event) ||
+        process.queuedWhileFrozen.size() >= kMaxQueuedWhileFrozen)
+      return;
+    process.queuedWhileFrozen.push_back([this, &process, event] { deliver(process, event); });
     return;
   }
-  if (process.slowness > 0 || !process.backlog.empty()) return enqueue(process, event);
+  if (process.eventCostMilliseconds > 0 || !process.backlog.empty()) return enqueue(process, event);
   handle(process, event);
 }
 
 void SimCluster::handle(SimProcess& process, const Event& event) {
-  process.node->step(event, process.local(now()));
+  process.node->step(event, process.localTime(now()));
   runCommands(process);
 }
 
 void SimCluster::enqueue(SimProcess& process, const Event& event) {
-  Duration wait = costOf(process) * static_cast<double>(process.backlog.size());
+  Duration wait = eventCost(process) * static_cast<double>(process.backlog.size());
   // A tick that would be late by more than one period is dropped: the next one does its work.
-  if (std::holds_alternative<Ticked>(event) && wait > kTickPeriod) return;
-  if (std::holds_alternative<Arrived>(event) && wait > kLongestBacklog) return;
+  if (std::holds_alternative<Tick>(event) && wait > kTickPeriod) return;
+  if (std::holds_alternative<MessageReceived>(event) && wait > kMaxBacklogDelay) return;
   process.backlog.push_back(event);
-  if (process.backlog.size() == 1) serveBacklog(process, costOf(process));
+  if (process.backlog.size() == 1) serveBacklog(process, eventCost(process));
 }
 
 void SimCluster::serveBacklog(SimProcess& process, Duration delay) {
-  after(delay, [this, &process, life = process.life] {
-    if (process.life != life) return;
-    if (process.frozen) return serveBacklog(process, kLookWhenFrozen);
+  scheduleAfter(delay, [this, &process, incarnation = process.incarnation] {
+    if (process.incarnation != incarnation) return;
+    if (process.frozen) return serveBacklog(process, kFreezePollInterval);
     Event event = std::move(process.backlog.front());
     process.backlog.pop_front();
     // Schedules the next event first: handling this one may add more.
-    if (!process.backlog.empty()) serveBacklog(process, costOf(process));
+    if (!process.backlog.empty()) serveBacklog(process, eventCost(process));
     handle(process, event);
   });
 }
 
 void SimCluster::tickProcesses() {
   for (auto& process : processes_) {
-    deliver(*process, Ticked{});
-    bool leaves = process->alive && process->stopping && !process->frozen;
-    if (leaves && hasEnded(*process)) kill(*process, true);
+    deliver(*process, Tick{});
+    bool isLeaving = process->alive && process->stopping && !process->frozen;
+    if (isLeaving && mayExit(*process)) kill(*process, true);
   }
 }
 
@@ -236,47 +243,48 @@
   std::string from, to;  // hosts
   Address sender;
   SimProcess* receiver;
-  std::uint64_t receiverLife;
+  std::uint64_t receiverIncarnation;
   std::uint64_t connection;
   std::shared_ptr<const std::string> bytes;
 };
 
 void SimCluster::sendToSelf(SimProcess& process, const Message& message) {
   ++messages_;
-  after(kToItself, [this, &process, life = process.life, message] {
-    if (process.life == life) deliver(process, Arrived{process.address, message});
+  scheduleAfter(kLoopbackLatency, [this, &process, incarnation = process.incarnation, message] {
+    if (process.incarnation == incarnation)
+      deliver(process, MessageReceived{process.address, message});
   });
 }
 
 void SimCluster::send(SimProcess& from, const Send& command) {
   if (command.to == from.address) return sendToSelf(from, command.message);
   // Every message is encoded and decoded, as between real processes.
-  transmit(from, command.to,
-           std::make_shared<const std::string>(encodeFrame(kFleetMark, command.message)));
+  transmitFrame(from, command.to,
+                std::make_shared<const std::string>(encodeFrame(kFleetMark, command.message)));
 }
 
 void SimCluster::broadcast(SimProcess& from, const Broadcast& command) {
   auto bytes = std::make_shared<const std::string>(encodeFrame(kFleetMark, *command.message));
-  if (now() - from.burstSince >= kOneMoment) {
-    from.burstSince = now();
+  if (now() - from.burstStartedAt >= kBurstWindow) {
+    from.burstStartedAt = now();
     from.burstBytes = 0;
   }
   from.burstBytes += bytes->size() * command.to.size();
   from.largestBurst = std::max(from.largestBurst, from.burstBytes);
   for (const auto& to : command.to) {
     if (to == from.address) sendToSelf(from, *command.message);
-    else transmit(from, to, bytes);
+    else transmitFrame(from, to, bytes);
   }
 }
 
-void SimCluster::transmit(SimProcess& from, const Address& receiver,
-                          const std::shared_ptr<const std::string>& bytes) {
+void SimCluster::transmitFrame(SimProcess& from, const Address& receiver,
+                               const std::shared_ptr<const std::string>& bytes) {
   ++messages_;
   countBytes(bytes->size());
   SimProcess* to = processAt(receiver);
   if (to == nullptr || !reachable(from.host, to->host)) return;
   if (network_.waitsToReconnect(from.host, to->host, now())) return;
-  std::optional<Duration> delay = network_.transit();
+  std::optional<Duration> delay = network_.drawTransitTime();
   if (!delay) return;
   auto frame = std::make_shared<Frame>();
   frame->bytes = bytes;
@@ -284,32 +292,32 @@
   frame->to = to->host;
   frame->sender = from.address;
   frame->receiver = to;
-  frame->receiverLife = to->life;
+  frame->receiverIncarnation = to->incarnation;
   frame->connection = network_.connection(from.host, to->host);
-  after(*delay, [this, frame] { arrive(frame); });
+  scheduleAfter(*delay, [this, frame] { deliverFrame(frame); });
 }
 
-void SimCluster::arrive(const std::shared_ptr<Frame>& frame) {
+void SimCluster::deliverFrame(const std::shared_ptr<Frame>& frame) {
   SimProcess& to = *frame->receiver;
-  if (!to.alive || to.life != frame->receiverLife) return;
+  if (!to.alive || to.incarnation != frame->receiverIncarnation) return;
   if (frame->connection != network_.connection(frame->from, frame->to)) return;
-  if (network_.hangs(frame->from, frame->to)) {
-    after(kLookWhenHanging, [this, frame] { arrive(frame); });
+  if (network_.isStalled(frame->from, frame->to)) {
+    scheduleAfter(kStallPollInterval, [this, frame] { deliverFrame(frame); });
     return;
   }
   if (!reachable(frame->from, frame->to)) return;
   std::span<const char> bytes(*frame->bytes);
   FrameHead head = readFrameHead(kFleetMark, bytes);
-  std::span<const char> body = bytes.subspan(kFrameHeadSize);
+  std::span<const char> body = bytes.subspan(kFrameHeadBytes);
   auto message = decodeBody(head.kind, body);
-  if (message.ok() && bodyIsWhole(head, body))
-    deliver(to, Arrived{frame->sender, std::move(*message)});
-  else frameUnreadable(frame->from);
+  if (message.ok() && bodyMatchesHead(head, body))
+    deliver(to, MessageReceived{frame->sender, std::move(*message)});
+  else handleUnreadableFrame(frame->from);
 }
 
-void SimCluster::noteState(const SimProcess& process, const NoteState& command) const {
-  static const bool kLoud = std::getenv("PEPPERGATE_SIM_LOG") != nullptr;
-  if (!kLoud) return;
+void SimCluster::printLog(const SimProcess& process, const LogState& command) const {
+  static const bool kLogEnabled = std::getenv("PEPPERGATE_SIM_LOG") != nullptr;
+  if (!kLogEnabled) return;
   std::fprintf(stderr, "%9.3f %s: %s\n", inSeconds(now() - MonotonicTime{}), process.host.c_str(),
                command.text.c_str());
 }
@@ -321,7 +329,7 @@
   bytesBySecond_[second] += bytes;
 }
 
-std::uint64_t SimCluster::bytesAt(MonotonicTime from, MonotonicTime to) const {
+std::uint64_t SimCluster::bytesBetween(MonotonicTime from, MonotonicTime to) const {
   std::uint64_t bytes = 0;
   for (std::size_t second = 0; second < bytesBySecond_.size(); ++second) {
     MonotonicTime at = begin_ + seconds(static_cast<double>(second));
--- a/src/sim/sim_cluster.h
+++ b/src/sim/sim_cluster.h
@@ -27,13 +27,15 @@
   std::vector<std::unique_ptr<SimProcess>>& processes() { return processes_; }
 
   /// Schedules an action after a delay.
-  void after(Duration delay, std::function<void()> what) { queue_.after(delay, std::move(what)); }
+  void scheduleAfter(Duration delay, std::function<void()> action) {
+    queue_.scheduleAfter(delay, std::move(action));
+  }
   /// Whether messages of one host reach another now.
   bool reachable(const std::string& from, const std::string& to) const {
     return network_.reachable(from, to);
   }
   /// Draws a one-way network latency.
-  Duration latency() { return network_.latency(); }
+  Duration drawLatency() { return network_.drawLatency(); }
   /// Delivers an event to a process: now, when it thaws, or when a slowed process gets to it.
   void deliver(SimProcess& process, const Event& event);
   /// The core that is the leader; null if there is none.
@@ -44,7 +46,7 @@
   SimProcess* processOf(Role role, int number);
   /// When a core machine was last disturbed; some checks, such as those of rollouts, need
   /// undisturbed cores.
-  MonotonicTime coreDisturbed() const { return coreDisturbed_; }
+  MonotonicTime coreDisturbedAt() const { return coreDisturbedAt_; }
 
   /// Starts a process that isn't running from the files on its disk.
   void start(SimProcess& process);
@@ -62,24 +64,24 @@
   /// The number and bytes of messages between processes so far.
   std::uint64_t messages() const { return messages_; }
   std::uint64_t messageBytes() const { return messageBytes_; }
-  std::uint64_t bytesAt(MonotonicTime from, MonotonicTime to) const;
+  std::uint64_t bytesBetween(MonotonicTime from, MonotonicTime to) const;
 
  protected:
   SimCluster(std::uint64_t seed, MonotonicTime begin);
 
   // Implemented by each world.
   /// The scenario word for request-serving processes: "front" or "router".
-  virtual std::string frontWord() const = 0;
+  virtual std::string routerWord() const = 0;
   virtual std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
-                                         const DiskFound& found, const Bootstrap& bootstrap) = 0;
+                                         const DiskContents& found, const Bootstrap& bootstrap) = 0;
   virtual Bootstrap bootstrapOf(const SimProcess& process) const = 0;
   virtual void runCommands(SimProcess& process) = 0;
   /// Called after a process ended and its node was destroyed.
-  virtual void processEnded(SimProcess& process, bool planned) = 0;
-  virtual void frameUnreadable(const std::string& host) = 0;
+  virtual void handleProcessEnd(SimProcess& process, bool planned) = 0;
+  virtual void handleUnreadableFrame(const std::string& host) = 0;
   /// Whether a process that was asked to exit may end now.
-  virtual bool hasEnded(const SimProcess& process) const {
-    return process.node->drained(process.local(now()));
+  virtual bool mayExit(const SimProcess& process) const {
+    return process.node->drained(process.localTime(now()));
   }
   /// Makes a process reload its settings.
   virtual void reload(SimProcess& process) = 0;
@@ -90,13 +92,13 @@
   void addCore(int number, const Zone& zone, bool spare);
   /// Carries out an action on machines, disks, clocks or the network; returns false for other
   /// verbs.
-  bool actOnMachines(Verb verb, const std::vector<std::string>& words);
+  bool runMachineAction(Verb verb, const std::vector<std::string>& words);
   /// The processes that words of a scenario name: "core 2", "primary", "cores", "all", ...
-  std::vector<SimProcess*> targets(const std::vector<std::string>& words);
+  std::vector<SimProcess*> processesNamed(const std::vector<std::string>& words);
   /// The hosts that a list of such words names, including engines and "platform".
-  std::vector<std::string> hostsIn(const std::vector<std::string>& words);
+  std::vector<std::string> hostsNamed(const std::vector<std::string>& words);
   /// Records that a process was disturbed now.
-  void touch(SimProcess& process);
+  void noteDisturbance(SimProcess& process);
   /// Starts all processes but the spares, in random order within `spread`.
   void startAll(Duration spread);
   /// Ticks each process and ends those that have drained.
@@ -104,12 +106,12 @@
 
   // Commands of processes.
   /// Prints a process's log line if PEPPERGATE_SIM_LOG is set.
-  void noteState(const SimProcess& process, const NoteState& command) const;
+  void printLog(const SimProcess& process, const LogState& command) const;
   void send(SimProcess& from, const Send& command);
   void broadcast(SimProcess& from, const Broadcast& command);
   void write(SimProcess& process, const WriteFile& command) { process.diskTask->write(command); }
-  void dropOlder(SimProcess& process, const DropOlder& command) {
-    process.diskTask->dropOlder(command);
+  void removeOlderFiles(SimProcess& process, const RemoveOlderFiles& command) {
+    process.diskTask->removeOlderFiles(command);
   }
 
   EventQueue queue_;
@@ -120,28 +122,28 @@
 
  private:
   struct Frame;
-  DiskFound load(SimProcess& process, const Bootstrap& bootstrap);
+  DiskContents load(SimProcess& process, const Bootstrap& bootstrap);
   void sendToSelf(SimProcess& process, const Message& message);
-  void transmit(SimProcess& from, const Address& receiver,
-                const std::shared_ptr<const std::string>& bytes);
-  void arrive(const std::shared_ptr<Frame>& frame);
+  void transmitFrame(SimProcess& from, const Address& receiver,
+                     const std::shared_ptr<const std::string>& bytes);
+  void deliverFrame(const std::shared_ptr<Frame>& frame);
   void countBytes(std::size_t bytes);
   void handle(SimProcess& process, const Event& event);
   void enqueue(SimProcess& process, const Event& event);
   void serveBacklog(SimProcess& process, Duration delay);
   void thaw(SimProcess& process);
-  void noteRoles();
-  bool actOnNetwork(Verb verb, const std::vector<std::string>& words);
-  bool actOnProcess(Verb verb, SimProcess& process, const std::vector<std::string>& words);
+  void updateRoles();
+  bool runNetworkAction(Verb verb, const std::vector<std::string>& words);
+  bool runProcessAction(Verb verb, SimProcess& process, const std::vector<std::string>& words);
   void setDisk(const std::vector<std::string>& words);
   void setSeeds(const std::vector<std::string>& words);
-  void oneWay(const std::vector<std::string>& words);
-  void touchHosts(const std::vector<std::string>& hosts);
+  void cutOneWay(const std::vector<std::string>& words);
+  void noteDisturbances(const std::vector<std::string>& hosts);
 
   std::map<std::string, SimProcess*>
       roles_;  // processes by their role under the current or last leader
   MonotonicTime begin_;
-  MonotonicTime coreDisturbed_{};
+  MonotonicTime coreDisturbedAt_{};
   std::uint64_t messages_ = 0, messageBytes_ = 0;
   std::vector<std::uint64_t> bytesBySecond_;
 };
--- a/src/sim/sim_disk.cc
+++ b/src/sim/sim_disk.cc
@@ -20,7 +20,7 @@
   InodePointer& inode = names_[name];
   if (inode == nullptr) {
     inode = std::make_shared<Inode>();
-    unsyncedNames_.push_back({NameChangeKind::kMade, name, {}, inode});
+    unsyncedNames_.push_back({NameChangeKind::kCreated, name, {}, inode});
     return;
   }
   Write write;
@@ -86,11 +86,12 @@
   return names;
 }
 
-std::string SimDisk::afterPowerLoss(const Inode& inode, Luck luck, Random& random) {
+std::string SimDisk::contentAfterPowerLoss(const Inode& inode, PowerLossOutcome outcome,
+                                           Random& random) {
   std::string content = inode.synced;
   for (const Write& write : inode.unsynced) {
-    std::uint64_t fate = luck == Luck::kEachAlone ? random.below(4) : 0;
-    if (luck == Luck::kAllVanish || fate == 3) continue;
+    std::uint64_t fate = outcome == PowerLossOutcome::kIndependent ? random.below(4) : 0;
+    if (outcome == PowerLossOutcome::kAllLost || fate == 3) continue;
     Write kept = write;
     if (fate == 1) {  // only a prefix was written
       kept.bytes.resize(random.below(kept.bytes.size() + 1));
@@ -104,9 +105,10 @@
   return content;
 }
 
-void SimDisk::survive(const NameChange& change, Luck luck, Random& random, Names& names) {
-  std::uint64_t fate = luck == Luck::kEachAlone ? random.below(4) : 0;
-  if (luck == Luck::kAllVanish || fate == 3) return;
+void SimDisk::applyAfterPowerLoss(const NameChange& change, PowerLossOutcome outcome,
+                                  Random& random, Names& names) {
+  std::uint64_t fate = outcome == PowerLossOutcome::kIndependent ? random.below(4) : 0;
+  if (outcome == PowerLossOutcome::kAllLost || fate == 3) return;
   if (change.kind == NameChangeKind::kRemoved) {
     names.erase(change.name);
     return;
@@ -118,16 +120,19 @@
 
 void SimDisk::losePower(Random& random) {
   std::uint64_t drawn = random.below(4);
-  Luck luck = drawn == 0 ? Luck::kAllVanish : drawn == 1 ? Luck::kAllSurvive : Luck::kEachAlone;
+  PowerLossOutcome outcome = drawn == 0   ? PowerLossOutcome::kAllLost
+                             : drawn == 1 ? PowerLossOutcome::kAllSurvive
+                                          : PowerLossOutcome::kIndependent;
   Names names = syncedNames_;
-  for (const NameChange& change : unsyncedNames_) survive(change, luck, random, names);
+  for (const NameChange& change : unsyncedNames_)
+    applyAfterPowerLoss(change, outcome, random, names);
   names_.clear();
   std::map<const Inode*, InodePointer> kept;  // two names of one file still share it
   for (const auto& [name, inode] : names) {
     InodePointer& after = kept[inode.get()];
     if (after == nullptr) {
       after = std::make_shared<Inode>();
-      after->content = after->synced = afterPowerLoss(*inode, luck, random);
+      after->content = after->synced = contentAfterPowerLoss(*inode, outcome, random);
     }
     names_[name] = after;
   }
--- a/src/sim/sim_disk.h
+++ b/src/sim/sim_disk.h
@@ -14,11 +14,11 @@
 
 namespace peppergate {
 
-/// How a disk behaves. The caller, which simulates time, implements `kSlow` and `kHanging`.
+/// How a disk behaves. The caller, which simulates time, implements `kSlow` and `kStalled`.
 enum class DiskMode : std::uint8_t {
   kGood,
   kSlow,         // each call takes longer by a factor
-  kHanging,      // calls block until the mode ends and are then carried out
+  kStalled,      // calls block until the mode ends and are then carried out
   kFailingSync,  // a sync returns an error and may have covered anything or nothing
   kFull,         // every write fails; other calls succeed
 };
@@ -65,18 +65,20 @@
   };
   using InodePointer = std::shared_ptr<Inode>;
   using Names = std::map<std::string, InodePointer>;
-  enum class NameChangeKind : std::uint8_t { kMade, kRenamed, kRemoved };
+  enum class NameChangeKind : std::uint8_t { kCreated, kRenamed, kRemoved };
   struct NameChange {
     NameChangeKind kind;
     std::string name;  // the name made or removed, or the new name of a rename
     std::string from;  // the old name of a rename
     InodePointer inode;
   };
-  enum class Luck : std::uint8_t { kAllVanish, kAllSurvive, kEachAlone };
+  enum class PowerLossOutcome : std::uint8_t { kAllLost, kAllSurvive, kIndependent };
 
   static void apply(const Write& write, std::string& content);
-  static std::string afterPowerLoss(const Inode& inode, Luck luck, Random& random);
-  static void survive(const NameChange& change, Luck luck, Random& random, Names& names);
+  static std::string contentAfterPowerLoss(const Inode& inode, PowerLossOutcome outcome,
+                                           Random& random);
+  static void applyAfterPowerLoss(const NameChange& change, PowerLossOutcome outcome,
+                                  Random& random, Names& names);
 
   Names names_;        // as read by a process
   Names syncedNames_;  // as of the last sync of the directory
--- a/src/sim/sim_disk_task.h
+++ b/src/sim/sim_disk_task.h
@@ -18,7 +18,7 @@
 struct SimDrive {
   SimDisk disk;
   DiskMode mode = DiskMode::kGood;
-  double slowness = 0;  // slowdown factor of `kSlow`; 0: 150 to 650 ms for each file
+  double slowdownFactor = 0;  // slowdown factor of `kSlow`; 0: 150 to 650 ms for each file
 };
 
 /// The queue of one process's file commands. It ends with the process; completed steps remain on
@@ -31,21 +31,21 @@
               Answer answer);
 
   void write(WriteFile command);
-  void dropOlder(DropOlder command);
+  void removeOlderFiles(RemoveOlderFiles command);
 
  private:
-  using Job = std::variant<WriteFile, DropOlder>;
+  using Job = std::variant<WriteFile, RemoveOlderFiles>;
   enum class Step : std::uint8_t { kFirstHalf, kSecondHalf, kSync, kRename, kSyncFolder };
 
-  void push(Job job);
-  void next();
-  void begin();
+  void enqueue(Job job);
+  void runNext();
+  void beginWrite();
   void schedule(Step step, Duration delay);
-  void carryOut(Step step);
-  void carryOut(const DropOlder& command);
-  void finish(bool synced);
-  Duration drawTime();
-  const WriteFile& current() const { return std::get<WriteFile>(jobs_.front()); }
+  void execute(Step step);
+  void execute(const RemoveOlderFiles& command);
+  void finishWrite(bool synced);
+  Duration drawWriteTime();
+  const WriteFile& currentWrite() const { return std::get<WriteFile>(jobs_.front()); }
 
   EventQueue& queue_;
   Random& random_;
--- a/src/sim/sim_faults.cc
+++ b/src/sim/sim_faults.cc
@@ -11,7 +11,7 @@
 
 DiskMode diskModeOf(const std::string& word) {
   if (word == "slow") return DiskMode::kSlow;
-  if (word == "stall") return DiskMode::kHanging;
+  if (word == "stall") return DiskMode::kStalled;
   if (word == "fail") return DiskMode::kFailingSync;
   if (word == "full") return DiskMode::kFull;
   return DiskMode::kGood;
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-void SimCluster::noteRoles() {
+void SimCluster::updateRoles() {
   // Without a leader, the roles under the last leader still apply.
-  SimProcess* primary = leader();
-  if (primary == nullptr) return;
-  const View view = primary->core().leadership().view();
+  SimProcess* leaderProcess = leader();
+  if (leaderProcess == nullptr) return;
+  const View view = leaderProcess->core().leadership().view();
   std::vector<SimProcess*> backups, witnesses;
   for (auto& process : processes_) {
     if (!process->alive || process->role != Role::kCore) continue;
@@ -40,100 +40,100 @@
   roles_["other-witness"] = witnesses[1];
 }
 
-std::vector<SimProcess*> SimCluster::targets(const std::vector<std::string>& words) {
-  noteRoles();
+std::vector<SimProcess*> SimCluster::processesNamed(const std::vector<std::string>& words) {
+  updateRoles();
   const std::string& word = words.at(0);
   if (auto role = roles_.find(word); role != roles_.end()) return {role->second};
   std::string host = words.size() > 1 ? word + words[1] : word;
   std::vector<SimProcess*> found;
-  int fronts = 0;
+  int routerCount = 0;
   for (auto& process : processes_) {
-    bool front = process->role == Role::kFront;
-    bool grouped = word == "all" || (word == "cores" && !front) ||
-                   (word == frontWord() + "s" && front) ||
-                   (word == "half" && front && fronts % 2 == 0);
-    if (process->host == host || (grouped && !process->spare)) found.push_back(process.get());
-    if (front) ++fronts;
+    bool isRouter = process->role == Role::kRouter;
+    bool isInGroup = word == "all" || (word == "cores" && !isRouter) ||
+                     (word == routerWord() + "s" && isRouter) ||
+                     (word == "half" && isRouter && routerCount % 2 == 0);
+    if (process->host == host || (isInGroup && !process->spare)) found.push_back(process.get());
+    if (isRouter) ++routerCount;
   }
   return found;
 }
 
-std::vector<std::string> SimCluster::hostsIn(const std::vector<std::string>& words) {
+std::vector<std::string> SimCluster::hostsNamed(const std::vector<std::string>& words) {
   std::vector<std::string> hosts;
   for (std::size_t index = 0; index < words.size(); ++index) {
     std::vector<std::string> named{words[index]};
-    bool numbered = named[0] == "core" || named[0] == frontWord() || named[0] == "engine";
+    bool numbered = named[0] == "core" || named[0] == routerWord() || named[0] == "engine";
     if (numbered && index + 1 < words.size()) named.push_back(words[++index]);
-    std::vector<SimProcess*> processes = targets(named);
+    std::vector<SimProcess*> processes = processesNamed(named);
     for (SimProcess* process : processes) hosts.push_back(process->host);
     if (processes.empty()) hosts.push_back(named.size() > 1 ? named[0] + named[1] : named[0]);
   }
   return hosts;
 }
 
-void SimCluster::touchHosts(const std::vector<std::string>& hosts) {
+void SimCluster::noteDisturbances(const std::vector<std::string>& hosts) {
   for (auto& process : processes_)
-    if (std::ranges::find(hosts, process->host) != hosts.end()) touch(*process);
+    if (std::ranges::find(hosts, process->host) != hosts.end()) noteDisturbance(*process);
 }
 
 void SimCluster::setDisk(const std::vector<std::string>& words) {
   // "disk core 1 slow 30": the factor is optional.
-  bool factor = words.size() > 2 && words[words.size() - 2] == "slow";
-  const std::string& mode = factor ? words[words.size() - 2] : words.back();
-  for (SimProcess* process : targets(words)) {
+  bool hasFactor = words.size() > 2 && words[words.size() - 2] == "slow";
+  const std::string& mode = hasFactor ? words[words.size() - 2] : words.back();
+  for (SimProcess* process : processesNamed(words)) {
     process->drive.mode = diskModeOf(mode);
-    process->drive.slowness = factor ? numberOf(words.back()) : 0;
-    touch(*process);
+    process->drive.slowdownFactor = hasFactor ? numberOf(words.back()) : 0;
+    noteDisturbance(*process);
   }
 }
 
-void SimCluster::oneWay(const std::vector<std::string>& words) {
-  auto middle = std::ranges::find(words, "to");
-  auto senders = hostsIn({words.begin(), middle});
-  auto receivers = hostsIn({middle == words.end() ? middle : middle + 1, words.end()});
+void SimCluster::cutOneWay(const std::vector<std::string>& words) {
+  auto separator = std::ranges::find(words, "to");
+  auto senders = hostsNamed({words.begin(), separator});
+  auto receivers = hostsNamed({separator == words.end() ? separator : separator + 1, words.end()});
   network_.cutOneWay(senders, receivers);
-  touchHosts(senders);
-  touchHosts(receivers);
+  noteDisturbances(senders);
+  noteDisturbances(receivers);
 }
 
-bool SimCluster::actOnNetwork(Verb verb, const std::vector<std::string>& words) {
+bool SimCluster::runNetworkAction(Verb verb, const std::vector<std::string>& words) {
   switch (verb) {
     case Verb::kCut:
-      network_.cut(hostsIn(words));
-      touchHosts(hostsIn(words));
+      network_.cut(hostsNamed(words));
+      noteDisturbances(hostsNamed(words));
       return true;
     case Verb::kPart:
-      network_.separate(hostsIn(words));
-      touchHosts(hostsIn(words));
+      network_.separate(hostsNamed(words));
+      noteDisturbances(hostsNamed(words));
       return true;
     case Verb::kHang:
-      network_.hang(hostsIn(words));
-      touchHosts(hostsIn(words));
+      network_.stall(hostsNamed(words));
+      noteDisturbances(hostsNamed(words));
       return true;
     case Verb::kOneWay:
-      oneWay(words);
+      cutOneWay(words);
       return true;
     case Verb::kHeal:
       for (auto& process : processes_)
-        if (network_.isDisturbed(process->host)) touch(*process);
+        if (network_.isDisturbed(process->host)) noteDisturbance(*process);
       network_.heal();
       return true;
     case Verb::kDrop:
-      for (SimProcess* process : targets(words)) network_.reset(process->host, now());
+      for (SimProcess* process : processesNamed(words)) network_.reset(process->host, now());
       return true;
     case Verb::kLoss:
-      network_.setLoss(numberOf(words.at(0)));
+      network_.setLossShare(numberOf(words.at(0)));
       return true;
     case Verb::kLate:
-      network_.setLate(numberOf(words.at(0)));
+      network_.setLateShare(numberOf(words.at(0)));
       return true;
     default:
       return false;
   }
 }
 
-bool SimCluster::actOnProcess(Verb verb, SimProcess& process,
-                              const std::vector<std::string>& words) {
+bool SimCluster::runProcessAction(Verb verb, SimProcess& process,
+                                  const std::vector<std::string>& words) {
   switch (verb) {
     case Verb::kKill:
       kill(process);
@@ -164,14 +164,14 @@
       return true;
     case Verb::kFreeze:
       process.frozen = process.alive;
-      touch(process);
+      noteDisturbance(process);
       return true;
     case Verb::kThaw:
       thaw(process);
       return true;
     case Verb::kThrottle:
-      process.slowness = numberOf(words.back());
-      touch(process);
+      process.eventCostMilliseconds = numberOf(words.back());
+      noteDisturbance(process);
       return true;
     case Verb::kLeap:  // its boot clock jumps by that time
       process.clock = process.clock + seconds(numberOf(words.back()));
@@ -188,8 +188,8 @@
       seeds_.push_back(seed->address);
 }
 
-bool SimCluster::actOnMachines(Verb verb, const std::vector<std::string>& words) {
-  if (actOnNetwork(verb, words)) return true;
+bool SimCluster::runMachineAction(Verb verb, const std::vector<std::string>& words) {
+  if (runNetworkAction(verb, words)) return true;
   if (verb == Verb::kDisk) {
     setDisk(words);
     return true;
@@ -200,7 +200,8 @@
   }
   bool known = false;
   if (words.empty()) return known;
-  for (SimProcess* process : targets(words)) known = actOnProcess(verb, *process, words) || known;
+  for (SimProcess* process : processesNamed(words))
+    known = runProcessAction(verb, *process, words) || known;
   return known;
 }
 
--- a/src/sim/sim_network.cc
+++ b/src/sim/sim_network.cc
@@ -5,38 +5,38 @@
 namespace peppergate {
 namespace {
 
-constexpr std::int64_t kShortestWayMicroseconds = 300;
-constexpr std::uint64_t kSpreadOfWaysMicroseconds = 1500;
+constexpr std::int64_t kMinLatencyMicroseconds = 300;
+constexpr std::uint64_t kLatencySpreadMicroseconds = 1500;
 
 }  // namespace
 
 void SimNetwork::cut(const std::vector<std::string>& hosts) {
   ++lastGroup_;
   for (const auto& host : hosts) groups_[host] = lastGroup_;
-  note(hosts);
+  noteDisturbed(hosts);
 }
 
 void SimNetwork::separate(const std::vector<std::string>& hosts) { cutOneWay(hosts, hosts); }
 
 void SimNetwork::cutOneWay(const std::vector<std::string>& senders,
                            const std::vector<std::string>& receivers) {
-  note(senders);
-  note(receivers);
+  noteDisturbed(senders);
+  noteDisturbed(receivers);
   for (const auto& sender : senders)
     for (const auto& receiver : receivers)
       if (sender != receiver) oneWayCuts_.insert({sender, receiver});
 }
 
-void SimNetwork::hang(const std::vector<std::string>& hosts) {
-  hanging_.insert(hosts.begin(), hosts.end());
-  note(hosts);
+void SimNetwork::stall(const std::vector<std::string>& hosts) {
+  stalledHosts_.insert(hosts.begin(), hosts.end());
+  noteDisturbed(hosts);
 }
 
 void SimNetwork::heal() {
   groups_.clear();
   oneWayCuts_.clear();
-  hanging_.clear();
-  disturbed_.clear();
+  stalledHosts_.clear();
+  disturbedHosts_.clear();
 }
 
 int SimNetwork::groupOf(const std::string& host) const {
@@ -48,11 +48,13 @@
   return groupOf(from) == groupOf(to) && !oneWayCuts_.contains({from, to});
 }
 
-bool SimNetwork::hangs(const std::string& from, const std::string& to) const {
-  return from != to && (hanging_.contains(from) || hanging_.contains(to));
+bool SimNetwork::isStalled(const std::string& from, const std::string& to) const {
+  return from != to && (stalledHosts_.contains(from) || stalledHosts_.contains(to));
 }
 
-bool SimNetwork::isDisturbed(const std::string& host) const { return disturbed_.contains(host); }
+bool SimNetwork::isDisturbed(const std::string& host) const {
+  return disturbedHosts_.contains(host);
+}
 
 const SimNetwork::Reset& SimNetwork::resetOf(const std::string& host) const {
   static const Reset kNone;
@@ -76,15 +78,16 @@
   return last != kNever && now - last < kReconnectPause;
 }
 
-Duration SimNetwork::latency() {
-  return Duration{kShortestWayMicroseconds +
-                  static_cast<std::int64_t>(random_.below(kSpreadOfWaysMicroseconds))};
+Duration SimNetwork::drawLatency() {
+  return Duration{kMinLatencyMicroseconds +
+                  static_cast<std::int64_t>(random_.below(kLatencySpreadMicroseconds))};
 }
 
-std::optional<Duration> SimNetwork::transit() {
-  if (random_.fraction() < loss_) return std::nullopt;
-  Duration delay = latency();
-  if (random_.fraction() < late_) delay = delay + seconds(inSeconds(kLatest) * random_.fraction());
+std::optional<Duration> SimNetwork::drawTransitTime() {
+  if (random_.fraction() < lossShare_) return std::nullopt;
+  Duration delay = drawLatency();
+  if (random_.fraction() < lateShare_)
+    delay = delay + seconds(inSeconds(kMaxLateness) * random_.fraction());
   return delay;
 }
 
--- a/src/sim/sim_network.h
+++ b/src/sim/sim_network.h
@@ -30,14 +30,14 @@
                  const std::vector<std::string>& receivers);
   /// Stalls the connections of these hosts to all other hosts: bytes are delayed, not lost, until
   /// `heal`.
-  void hang(const std::vector<std::string>& hosts);
+  void stall(const std::vector<std::string>& hosts);
   /// Ends all partitions and stalls.
   void heal();
 
   /// Whether messages of `from` reach `to` now. A host always reaches itself.
   bool reachable(const std::string& from, const std::string& to) const;
   /// Whether the connection between two hosts is stalled now.
-  bool hangs(const std::string& from, const std::string& to) const;
+  bool isStalled(const std::string& from, const std::string& to) const;
   /// Whether a partition, of one direction or both, or a stall that hasn't ended names this host.
   bool isDisturbed(const std::string& host) const;
   /// Whether any partition is active.
@@ -50,19 +50,19 @@
   /// that were sent under a lower number are lost.
   std::uint64_t connection(const std::string& one, const std::string& other) const;
 
-  /// Set the shares of messages that are lost and that are late by up to `kLatest`.
-  void setLoss(double share) { loss_ = share; }
-  void setLate(double share) { late_ = share; }
-  double loss() const { return loss_; }
+  /// Set the shares of messages that are lost and that are late by up to `kMaxLateness`.
+  void setLossShare(double share) { lossShare_ = share; }
+  void setLateShare(double share) { lateShare_ = share; }
+  double lossShare() const { return lossShare_; }
 
   /// Draws a one-way latency.
-  Duration latency();
+  Duration drawLatency();
   /// Draws the delay of a message; nullopt if it is lost.
-  std::optional<Duration> transit();
+  std::optional<Duration> drawTransitTime();
   /// Whether a sender still waits to reconnect after a reset.
   bool waitsToReconnect(const std::string& one, const std::string& other, MonotonicTime now) const;
 
-  static constexpr Duration kLatest = seconds(2.5);
+  static constexpr Duration kMaxLateness = seconds(2.5);
   static constexpr Duration kReconnectPause = milliseconds(100);
 
  private:
@@ -70,8 +70,8 @@
     std::uint64_t count = 0;
     MonotonicTime last = kNever;
   };
-  void note(const std::vector<std::string>& hosts) {
-    disturbed_.insert(hosts.begin(), hosts.end());
+  void noteDisturbed(const std::vector<std::string>& hosts) {
+    disturbedHosts_.insert(hosts.begin(), hosts.end());
   }
   int groupOf(const std::string& host) const;
   const Reset& resetOf(const std::string& host) const;
@@ -80,10 +80,10 @@
   std::map<std::string, int> groups_;
   int lastGroup_ = 0;
   std::set<std::pair<std::string, std::string>> oneWayCuts_;  // sender, receiver
-  std::set<std::string> hanging_;
-  std::set<std::string> disturbed_;  // named by any partition or stall since the last heal
+  std::set<std::string> stalledHosts_;
+  std::set<std::string> disturbedHosts_;  // named by any partition or stall since the last heal
   std::map<std::string, Reset> resets_;
-  double loss_ = 0.002, late_ = 1.0 / 300;
+  double lossShare_ = 0.002, lateShare_ = 1.0 / 300;
 };
 
 }  // namespace peppergate
