--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -10,25 +10,25 @@
 namespace {
 
 constexpr Duration kTick = milliseconds(50);
-const Address kListAddress{"10.0.3.1:80"};   // of the platform
-constexpr Duration kAfterRun = seconds(14);  // for the last deadlines and the fleet to settle
+const Address kListAddress{"10.0.3.1:80"};     // of the platform
+constexpr Duration kSettleTime = seconds(14);  // for the last deadlines and the fleet to settle
 
 std::string zoneOf(int number) { return "district" + std::to_string(number % 4 + 1); }
 
 }  // namespace
 
 World::World(const Scenario& scenario, std::uint64_t seed)
-    : SimCluster(seed, kWarmUp), scenario_(scenario) {
+    : SimCluster(seed, kWarmUpStart), scenario_(scenario) {
   for (const auto& [name, value] : scenario_.options) (void)setOption(options_, name, value);
-  options_.guardsOff = scenario_.guardsOff;
-  network_.setLate(scenario_.late);
+  options_.disabledGuards = scenario_.disabledGuards;
+  network_.setLateShare(scenario_.delayedShare);
   for (int number = 1; number <= scenario_.cores + scenario_.spares; ++number)
     addCore(number, {zoneOf(number)}, number > scenario_.cores);
   for (int number = 1; number <= scenario_.fronts; ++number)
-    addProcess(Role::kFront, number, {zoneOf(number)});
+    addProcess(Role::kRouter, number, {zoneOf(number)});
   seeds_ = {processes_[0]->address, processes_[1 % processes_.size()]->address,
-            processOf(Role::kFront, 1)->address};
-  if (scenario_.foundedBySeeds) {
+            processOf(Role::kRouter, 1)->address};
+  if (scenario_.createdBySeeds) {
     seeds_.clear();
     for (int number = 1; number <= std::min(3, scenario_.cores); ++number)
       seeds_.push_back(processOf(Role::kCore, number)->address);
@@ -44,9 +44,9 @@
     engine->entry.service = store ? Service::kStore : desk ? Service::kDesk : Service::kModel;
     engine->entry.rack = store ? "" : "rack" + std::to_string(number % scenario_.racks + 1);
     engine->entry.zone = {zoneOf(number)};
-    engine->entry.link = scenario_.link;
-    EngineOptions options;
-    options.cacheParts = store ? 4000 : scenario_.cache;
+    engine->entry.linkCapacity = scenario_.linkMegabytesPerSecond;
+    EngineModelOptions options;
+    options.cacheBlocks = store ? 4000 : scenario_.cachedBlocks;
     engine->model =
         std::make_unique<EngineModel>(options, engine->entry.id, WeightsVersion{1}, random_.next());
     engines_.push_back(std::move(engine));
@@ -57,86 +57,86 @@
 
 World::~World() = default;
 
-SimEngine* World::engineAt(const Address& address) {
+SimEngine* World::engineByAddress(const Address& address) {
   for (auto& engine : engines_)
     if (engine->address == address) return engine.get();
   return nullptr;
 }
 
 Bootstrap World::bootstrapOf(const SimProcess& process) const {
-  if (scenario_.foundedBySeeds) return {true, seeds_, 0};
+  if (scenario_.createdBySeeds) return {true, seeds_, 0};
   Bootstrap bootstrap;
-  if (process.host == "core1") bootstrap.cores = static_cast<std::size_t>(scenario_.cores);
+  if (process.host == "core1") bootstrap.expectedCores = static_cast<std::size_t>(scenario_.cores);
   return bootstrap;
 }
 
 std::unique_ptr<Node> World::makeNode(SimProcess& process, const MemberRecord& self,
-                                      const DiskFound& found, const Bootstrap& bootstrap) {
+                                      const DiskContents& found, const Bootstrap& bootstrap) {
   if (process.role == Role::kCore)
     return std::make_unique<CoreNode>(options_, self, seeds_, found, random_.next(),
-                                      process.local(now()), bootstrap);
+                                      process.localTime(now()), bootstrap);
   return std::make_unique<FrontNode>(options_, self, seeds_, kListAddress, random_.next());
 }
 
-void World::processEnded(SimProcess& process, bool) {
-  if (process.role != Role::kFront) return;
+void World::handleProcessEnd(SimProcess& process, bool) {
+  if (process.role != Role::kRouter) return;
   for (auto& run : runs_)
-    if (run->process == &process && !run->ended) endRun(run, ShotTurn::kBroken);
-  callers_->lost(process.host);
+    if (run->process == &process && !run->ended) endRun(run, StreamAttemptEventKind::kBroken);
+  callers_->handleRouterExit(process.host);
 }
 
-void World::frameUnreadable(const std::string&) { checker_->fail("frame-unreadable"); }
+void World::handleUnreadableFrame(const std::string&) { checker_->fail("frame-unreadable"); }
 
-void World::findWaysToList() {
+void World::updateListReachability() {
   // Finds the routers that get the platform's list, directly or through other routers.
   if (!network_.hasCuts()) return;
-  std::set<const SimProcess*> hears;
-  for (bool more = true; more;) {
-    more = false;
+  std::set<const SimProcess*> reachesList;
+  for (bool foundMore = true; foundMore;) {
+    foundMore = false;
     for (auto& process : processes_) {
-      if (!process->alive || process->frozen || process->role != Role::kFront) continue;
-      if (hears.contains(process.get())) continue;
-      bool way = reachable(process->host, "platform") && reachable("platform", process->host);
-      for (const SimProcess* other : hears)
-        way =
-            way || (reachable(process->host, other->host) && reachable(other->host, process->host));
-      if (way) more = hears.insert(process.get()).second || more;
+      if (!process->alive || process->frozen || process->role != Role::kRouter) continue;
+      if (reachesList.contains(process.get())) continue;
+      bool hasPath = reachable(process->host, "platform") && reachable("platform", process->host);
+      for (const SimProcess* other : reachesList)
+        hasPath = hasPath ||
+                  (reachable(process->host, other->host) && reachable(other->host, process->host));
+      if (hasPath) foundMore = reachesList.insert(process.get()).second || foundMore;
     }
   }
   for (auto& process : processes_)
-    if (!hears.contains(process.get())) process->withoutList = now();
+    if (!reachesList.contains(process.get())) process->listUnreachableAt = now();
 }
 
 void World::tickAll() {
-  findWaysToList();
+  updateListReachability();
   tickProcesses();
   for (auto& engine : engines_) engine->model->tick(now());
   callers_->tick();
-  askOperators();
-  checker_->watch();
+  sendDueChanges();
+  checker_->checkState();
 }
 
-void World::firstSetup() {
+void World::requestInitialSetup() {
   // The operator waits for a leader, then applies the complete initial setup.
   if (leader() == nullptr) {
-    after(milliseconds(100), [this] { firstSetup(); });
+    scheduleAfter(milliseconds(100), [this] { requestInitialSetup(); });
     return;
   }
-  Json body = Json::parse(firstSetupBody(scenario_.profile, "1.1"));
-  change(std::move(body));
+  Json body = Json::parse(initialSetupChange(scenario_.profile, "1.1"));
+  requestChange(std::move(body));
 }
 
 void World::run() {
   startAll(scenario_.startSpread);
-  after(milliseconds(500), [this] { firstSetup(); });
+  scheduleAfter(milliseconds(500), [this] { requestInitialSetup(); });
   for (const auto& action : scenario_.actions)
-    queue_.at(action.at, [this, &action] { act(action); });
-  queue_.every(kTick, [this] { tickAll(); });
-  queue_.runUntil(MonotonicTime{} + scenario_.run + kAfterRun);
+    queue_.scheduleAt(action.at, [this, &action] { runAction(action); });
+  queue_.scheduleEvery(kTick, [this] { tickAll(); });
+  queue_.runUntil(MonotonicTime{} + scenario_.run + kSettleTime);
   checker_->finish();
 }
 
-std::string World::listText() const {
+std::string World::engineListJson() const {
   Json engines = Json::array();
   for (const auto& engine : engines_) {
     if (!engine->listed || engine->entry.service == Service::kStore) continue;
@@ -145,16 +145,19 @@
                        {"service", engine->entry.service == Service::kDesk ? "desk" : "model"},
                        {"rack", engine->entry.rack},
                        {"district", engine->entry.zone.value},
-                       {"link", engine->entry.link},
+                       {"link", engine->entry.linkCapacity},
                        {"draining", engine->entry.draining}});
   }
   Json racks = Json::array();
   for (int rack = 1; rack <= scenario_.racks; ++rack)
-    racks.push_back({{"id", "rack" + std::to_string(rack)}, {"uplink", scenario_.uplink}});
-  return Json{{"version", listVersion_},
-              {"engines", engines},
-              {"racks", racks},
-              {"store", {{"address", engines_.back()->address.value}, {"link", scenario_.uplink}}}}
+    racks.push_back(
+        {{"id", "rack" + std::to_string(rack)}, {"uplink", scenario_.uplinkMegabytesPerSecond}});
+  return Json{
+      {"version", listVersion_},
+      {"engines", engines},
+      {"racks", racks},
+      {"store",
+       {{"address", engines_.back()->address.value}, {"link", scenario_.uplinkMegabytesPerSecond}}}}
       .dump();
 }
 
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -22,36 +22,36 @@
   bool listed = true;
   double linkFactor = 1;
   Duration reportDelay;  // added to the answers of /kept
-  bool reportsOff = false;
-  std::string garble;  // corruption of answers: repeat, skip, foreign or early
-  std::uint64_t life = 0;
-  double fetching = 0;  // sum of the current fetch rates on its link, megabytes per second
+  bool reportsDisabled = false;
+  std::string responseFault;  // corruption of answers: repeat, skip, foreign or early
+  std::uint64_t incarnation = 0;
+  double fetchRate = 0;  // sum of the current fetch rates on its link, megabytes per second
 };
 
 /// A change that an operator requested, with its outcome.
 struct SimChange {
   std::string id;
   Json body;
-  MonotonicTime asked, done = kForever;
-  MonotonicTime lastAsked{};  // of the attempt that was answered
-  int tries = 0;
+  MonotonicTime requestedAt, acknowledgedAt = kForever;
+  MonotonicTime lastAttemptAt{};  // of the attempt that was answered
+  int attempts = 0;
   std::string outcome;  // empty while the change is pending
   SectionVersion version;
   std::string tenant;  // that the change adds
   std::string key;     // that the change withdraws
-  bool retry = true;
-  MonotonicTime nextTry{};
+  bool retriesIfStale = true;
+  MonotonicTime nextAttemptAt{};
   std::uint64_t ticket = 0;
 };
 
 /// Statistics of the prefix fetches of a simulation run.
-struct FetchFigures {
+struct FetchStatistics {
   double count = 0;
-  double over = 0;    // fetches that began while a link on the path was overbooked
-  double excess = 0;  // sum over those of the booked rate above the capacity, in capacities
-  double took = 0;    // sum of the durations in seconds
+  double overbookedCount = 0;  // fetches that began while a link on the path was overbooked
+  double excessSum = 0;   // sum over those of the booked rate above the capacity, in capacities
+  double secondsSum = 0;  // sum of the durations in seconds
   double megabytes = 0;
-  double rates = 0;  // sum of the requested rates
+  double rateSum = 0;  // sum of the requested rates
 };
 
 class Callers;
@@ -73,79 +73,79 @@
   SimEngine& store() { return *engines_.back(); }
 
   // Operators' changes.
-  void change(Json body, bool retry = true, const std::string& tenant = {},
-              const std::string& key = {});
+  void requestChange(Json body, bool retry = true, const std::string& tenant = {},
+                     const std::string& key = {});
   std::vector<SimChange>& changes() { return changes_; }
 
  private:
-  struct Run {
+  struct EngineRun {
     SimProcess* process;
-    std::uint64_t processLife;
-    ShotId shot;
+    std::uint64_t processIncarnation;
+    StreamAttemptId attempt;
     std::size_t engine;
-    std::uint64_t engineLife;
-    RunAsk ask;
+    std::uint64_t engineIncarnation;
+    RunRequest request;
     bool ended = false;
-    std::vector<double*> fetching;
-    double rate = 0;
+    std::vector<double*> linkFetchRates;
+    double fetchRate = 0;
   };
   friend struct CommandRunner;
   // SimCluster:
-  std::string frontWord() const override { return "front"; }
+  std::string routerWord() const override { return "front"; }
   std::unique_ptr<Node> makeNode(SimProcess& process, const MemberRecord& self,
-                                 const DiskFound& found, const Bootstrap& bootstrap) override;
+                                 const DiskContents& found, const Bootstrap& bootstrap) override;
   Bootstrap bootstrapOf(const SimProcess& process) const override;
   void runCommands(SimProcess& process) override;
-  void processEnded(SimProcess& process, bool planned) override;
-  void frameUnreadable(const std::string& host) override;
+  void handleProcessEnd(SimProcess& process, bool planned) override;
+  void handleUnreadableFrame(const std::string& host) override;
   void reload(SimProcess& process) override { process.node->reload(options_); }
   Duration graceTime() const override { return options_.graceTime; }
 
   void killEngine(SimEngine& engine);
   void breakRuns(const std::function<bool(std::size_t engine, const SimProcess&)>& which);
-  void callWeb(SimProcess& process, const CallWeb& command);
-  WebAnswered answerWeb(const std::string& host, const CallWeb& command);
-  void openShot(SimProcess& process, const OpenShot& command);
-  void arriveRun(const std::shared_ptr<Run>& run);
-  void generate(const std::shared_ptr<Run>& run, Piece piece);
-  void endRun(const std::shared_ptr<Run>& run, ShotTurn turn, int status = 0);
-  void turnShot(const std::shared_ptr<Run>& run, ShotTurned turned);
-  void cancelShot(SimProcess& process, ShotId shot);
-  void answeredOperator(const AnswerWeb& answer);
-  void askOperators();
+  void callHttp(SimProcess& process, const CallHttp& command);
+  HttpCallAnswered answerHttp(const std::string& host, const CallHttp& command);
+  void openAttempt(SimProcess& process, const OpenStreamAttempt& command);
+  void beginRun(const std::shared_ptr<EngineRun>& run);
+  void generatePiece(const std::shared_ptr<EngineRun>& run, PieceIndex piece);
+  void endRun(const std::shared_ptr<EngineRun>& run, StreamAttemptEventKind kind, int status = 0);
+  void sendAttemptEvent(const std::shared_ptr<EngineRun>& run, StreamAttemptEvent attemptEvent);
+  void cancelAttempt(SimProcess& process, StreamAttemptId shot);
+  void handleChangeReply(const AnswerHttp& answer);
+  void sendDueChanges();
   void tickAll();
-  void findWaysToList();
-  void firstSetup();
-  SimEngine* engineAt(const Address& address);
+  void updateListReachability();
+  void requestInitialSetup();
+  SimEngine* engineByAddress(const Address& address);
   std::string hostAt(const Address& address);
-  std::string listText() const;
-  void raiseList() { ++listVersion_; }
+  std::string engineListJson() const;
+  void incrementListVersion() { ++listVersion_; }
   // Actions of the scenario, in world_actions.cc.
-  void act(const Action& action);
-  bool actOnEngine(const Action& action);
-  bool actAsOperator(const Action& action);
-  SimEngine& engineOf(const std::vector<std::string>& words);
-  void stamp(const std::string& tenant);
-  void race();
-  void storm(int changes);
-  void large(std::size_t bytes);
-  void namedToEngines(WeightsVersion version);
+  void runAction(const Action& action);
+  bool runEngineAction(const Action& action);
+  bool runOperatorAction(const Action& action);
+  SimEngine& engineByWords(const std::vector<std::string>& words);
+  void requestTenantChange(const std::string& tenant);
+  void requestRacingChanges();
+  void requestKeyChanges(int changes);
+  void requestLargeSetup(std::size_t bytes);
+  void notifyEnginesOfWeights(WeightsVersion version);
 
   Scenario scenario_;
   std::vector<std::unique_ptr<SimEngine>> engines_;  // the store is last
-  std::vector<std::shared_ptr<Run>> runs_;
+  std::vector<std::shared_ptr<EngineRun>> runs_;
   std::vector<SimChange> changes_;
-  std::map<std::string, double> rackFetching_;
+  std::map<std::string, double> rackFetchRates_;
   std::uint64_t listVersion_ = 1;
   std::uint64_t lastTicket_ = 1'000'000'000;
-  int stamps_ = 0;
+  int lastNameNumber_ = 0;
   Options options_;
   std::unique_ptr<Checker> checker_;
   std::unique_ptr<Callers> callers_;
-  FetchFigures fetchFigures_;
+  FetchStatistics fetchStatistics_;
 
  public:
-  const FetchFigures& fetchFigures() const { return fetchFigures_; }
+  const FetchStatistics& fetchStatistics() const { return fetchStatistics_; }
 };
 
 }  // namespace peppergate
--- a/src/sim/world_actions.cc
+++ b/src/sim/world_actions.cc
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-SimEngine& World::engineOf(const std::vector<std::string>& words) {
+SimEngine& World::engineByWords(const std::vector<std::string>& words) {
   if (words.at(0) == "store") return store();
   return *engines_.at(static_cast<std::size_t>(numberOf(words.at(1)) - 1));
 }
 
-bool World::actOnEngine(const Action& action) {
+bool World::runEngineAction(const Action& action) {
   const auto& words = action.words;
-  bool named = !words.empty() && (words[0] == "engine" || words[0] == "store");
-  if (!named) return false;
-  SimEngine& engine = engineOf(words);
+  bool isEngineAction = !words.empty() && (words[0] == "engine" || words[0] == "store");
+  if (!isEngineAction) return false;
+  SimEngine& engine = engineByWords(words);
   switch (action.verb) {
     case Verb::kKill:
       killEngine(engine);
@@ -34,19 +34,19 @@
     case Verb::kDrain:
     case Verb::kUndrain:
       engine.entry.draining = action.verb == Verb::kDrain;
-      engine.model->marked(action.verb == Verb::kDrain, now());
-      raiseList();
+      engine.model->setDraining(action.verb == Verb::kDrain, now());
+      incrementListVersion();
       return true;
     case Verb::kGone:
     case Verb::kReturn:
       engine.listed = action.verb == Verb::kReturn;
-      raiseList();
+      incrementListVersion();
       return true;
     case Verb::kEngineLink:
       engine.linkFactor = std::atof(words.at(2).c_str());
       return true;
     case Verb::kReports:
-      engine.reportsOff = words.at(2) == "off";
+      engine.reportsDisabled = words.at(2) == "off";
       engine.reportDelay = words.at(2) == "late" ? seconds(1.2) : Duration{};
       return true;
     case Verb::kRestart: {  // a crash and an immediate start, optionally with older weights
@@ -63,42 +63,43 @@
           [&](std::size_t index, const SimProcess&) { return engines_[index].get() == &engine; });
       return true;
     case Verb::kGarble:
-      engine.garble = words.at(2) == "off" ? "" : words.at(2);
+      engine.responseFault = words.at(2) == "off" ? "" : words.at(2);
       return true;
     default:
       return false;
   }
 }
 
-void World::stamp(const std::string& tenant) {
+void World::requestTenantChange(const std::string& tenant) {
   Json parameters{{"rank", 2}, {"wall", "wall-" + tenant + std::to_string(now().microseconds)}};
-  change({{"kind", "stamp"}, {"template", "plain"}, {"tenant", tenant}, {"parameters", parameters}},
-         true, tenant);
+  requestChange(
+      {{"kind", "stamp"}, {"template", "plain"}, {"tenant", tenant}, {"parameters", parameters}},
+      true, tenant);
 }
 
-void World::race() {
+void World::requestRacingChanges() {
   for (int racer = 0; racer < 2; ++racer) {
-    std::string name = "racer" + std::to_string(++stamps_);
-    change({{"kind", "stamp"},
-            {"template", "plain"},
-            {"tenant", name},
-            {"parameters", {{"rank", 2}, {"wall", name}}}},
-           false, name);
+    std::string name = "racer" + std::to_string(++lastNameNumber_);
+    requestChange({{"kind", "stamp"},
+                   {"template", "plain"},
+                   {"tenant", name},
+                   {"parameters", {{"rank", 2}, {"wall", name}}}},
+                  false, name);
   }
 }
 
-void World::storm(int changes) {
+void World::requestKeyChanges(int changes) {
   for (int index = 0; index < changes; ++index) {
-    std::string tenant(tenantRows(scenario_.profile)[0].name);
-    std::string key = "extra-" + std::to_string(++stamps_);
-    change({{"kind", "key-add"}, {"tenant", tenant}, {"digest", keyDigest(key).value}});
+    std::string tenant(exampleTenants(scenario_.profile)[0].name);
+    std::string key = "extra-" + std::to_string(++lastNameNumber_);
+    requestChange({{"kind", "key-add"}, {"tenant", tenant}, {"digest", keyDigest(key).value}});
   }
 }
 
-void World::large(std::size_t bytes) {
+void World::requestLargeSetup(std::size_t bytes) {
   // A complete setup of about this size: thousands of tenants besides those of the profile.
-  std::string name = "large" + std::to_string(++stamps_);
-  Json body = Json::parse(firstSetupBody(scenario_.profile, "1.1"));
+  std::string name = "large" + std::to_string(++lastNameNumber_);
+  Json body = Json::parse(initialSetupChange(scenario_.profile, "1.1"));
   body.erase("basedOn");
   std::size_t size = body.dump().size();
   for (int index = 0; size < bytes; ++index) {
@@ -111,46 +112,47 @@
     size += entry.dump().size() + tenant.size() + 4;
     body["setup"]["tenants"][tenant] = std::move(entry);
   }
-  change(std::move(body), true, name + "-0");
+  requestChange(std::move(body), true, name + "-0");
 }
 
-bool World::actAsOperator(const Action& action) {
+bool World::runOperatorAction(const Action& action) {
   const auto& words = action.words;
   switch (action.verb) {
     case Verb::kWeights:
-      change({{"kind", "weights"}, {"label", words.at(0)}});
+      requestChange({{"kind", "weights"}, {"label", words.at(0)}});
       return true;
     case Verb::kWithdraw: {
       std::string key = Callers::keyOf(words.at(0));
-      change({{"kind", "key-withdraw"}, {"digest", keyDigest(key).value}}, true, {}, key);
+      requestChange({{"kind", "key-withdraw"}, {"digest", keyDigest(key).value}}, true, {}, key);
       return true;
     }
     case Verb::kStamp:
-      stamp("stamped" + std::to_string(++stamps_));
+      requestTenantChange("stamped" + std::to_string(++lastNameNumber_));
       return true;
     case Verb::kNewWall:
-      stamp(words.at(0));
+      requestTenantChange(words.at(0));
       return true;
     case Verb::kRace:
-      race();
+      requestRacingChanges();
       return true;
     case Verb::kStorm:
-      storm(numberOf(words.at(0)));
+      requestKeyChanges(numberOf(words.at(0)));
       return true;
     case Verb::kLarge:
-      large(static_cast<std::size_t>(numberOf(words.at(0))));
+      requestLargeSetup(static_cast<std::size_t>(numberOf(words.at(0))));
       return true;
     default:
       return false;
   }
 }
 
-void World::act(const Action& action) {
-  if (actOnEngine(action) || actAsOperator(action)) return;
-  if (action.verb == Verb::kTraffic) callers_->traffic(std::atof(action.words.at(0).c_str()));
+void World::runAction(const Action& action) {
+  if (runEngineAction(action) || runOperatorAction(action)) return;
+  if (action.verb == Verb::kTraffic)
+    callers_->setTrafficFactor(std::atof(action.words.at(0).c_str()));
   else if (action.verb == Verb::kFlood)
     callers_->flood(action.words.at(0), std::atof(action.words.at(1).c_str()));
-  else actOnMachines(action.verb, action.words);
+  else runMachineAction(action.verb, action.words);
 }
 
 }  // namespace peppergate
--- a/src/standin/engine_process.cc
+++ b/src/standin/engine_process.cc
@@ -16,182 +16,183 @@
 
 }  // namespace
 
-EngineProcess::EngineProcess(Loop& loop, EngineProcessSetup setup)
+EngineProcess::EngineProcess(EventLoop& loop, EngineProcessConfig config)
     : loop_(loop),
-      setup_(std::move(setup)),
-      model_(setup_.options, {setup_.id}, setup_.weights,
+      config_(std::move(config)),
+      model_(config_.options, {config_.id}, config_.weights,
              static_cast<std::uint64_t>(bootNow().microseconds)),
       client_(loop),
-      server_(loop, [this](const std::shared_ptr<WebRequest>& request) { take(request); }) {}
+      server_(loop,
+              [this](const std::shared_ptr<WebRequest>& request) { handleRequest(request); }) {}
 
 absl::Status EngineProcess::open() {
-  loop_.every(milliseconds(50), [this] { model_.tick(bootNow()); });
-  return server_.listen(setup_.listen, 4 << 20);
+  loop_.runEvery(milliseconds(50), [this] { model_.tick(bootNow()); });
+  return server_.listen(config_.listen, 4 << 20);
 }
 
 Json EngineProcess::report() const {
   Json violations = Json::object();
   for (const auto& [kind, count] : model_.violations()) violations[kind] = count;
-  return {{"id", setup_.id},
+  return {{"id", config_.id},
           {"violations", violations},
-          {"begun", model_.begun()},
-          {"began", model_.began()},
-          {"firstShots", model_.firstShots()},
-          {"secondShots", model_.secondShots()},
+          {"begun", model_.startedOnceIds()},
+          {"began", model_.startedIds()},
+          {"firstShots", model_.firstAttemptCount()},
+          {"secondShots", model_.secondAttemptCount()},
           {"weights", model_.weights().value}};
 }
 
-void EngineProcess::take(const std::shared_ptr<WebRequest>& request) {
+void EngineProcess::handleRequest(const std::shared_ptr<WebRequest>& request) {
   const std::string& path = request->path;
   Json body = request->body.empty() ? Json() : Json::parse(request->body, nullptr, false);
   if (path == "/run") {
-    start(request);
+    startRun(request);
   } else if (path == "/health") {
-    request->answer(200, kJson, model_.health().dump());
+    request->respond(200, kJson, model_.health().dump());
   } else if (path == "/kept") {
-    request->answer(reportsOff_ ? 503 : 200, kJson, model_.kept().dump());
+    request->respond(reportsDisabled_ ? 503 : 200, kJson, model_.cacheReport().dump());
   } else if (path == "/order" && body.is_object()) {
     auto verdict = model_.order(body, bootNow());
-    request->answer(verdict.status, kJson, Json{{"reason", verdict.reason}}.dump());
+    request->respond(verdict.status, kJson, Json{{"reason", verdict.reason}}.dump());
   } else if (path == "/part" && request->method == "POST") {
-    putPart(*request);
+    storeBlock(*request);
   } else if (path == "/part") {
-    getPart(*request);
+    sendBlock(*request);
   } else if (path == "/marked" && body.is_object()) {
-    model_.marked(body.value("draining", false), bootNow());
-    request->answer(200, kJson, "{}");
+    model_.setDraining(body.value("draining", false), bootNow());
+    request->respond(200, kJson, "{}");
   } else if (path == "/named" && body.is_object()) {
-    model_.named({body.value("weights", std::uint64_t{0})}, bootNow());
-    request->answer(200, kJson, "{}");
+    model_.noteAcknowledgedWeights({body.value("weights", std::uint64_t{0})}, bootNow());
+    request->respond(200, kJson, "{}");
   } else if (path == "/fault" && body.is_object()) {
-    factor_ = body.value("link", factor_);
-    reportsOff_ = body.value("reportsOff", reportsOff_);
-    request->answer(200, kJson, "{}");
+    linkFactor_ = body.value("link", linkFactor_);
+    reportsDisabled_ = body.value("reportsOff", reportsDisabled_);
+    request->respond(200, kJson, "{}");
   } else if (path == "/report") {
-    request->answer(200, kJson, report().dump());
+    request->respond(200, kJson, report().dump());
   } else {
-    request->answer(404, kJson, R"({"reason":"no such path"})");
+    request->respond(404, kJson, R"({"reason":"no such path"})");
   }
 }
 
-void EngineProcess::putPart(const WebRequest& request) {
+void EngineProcess::storeBlock(const WebRequest& request) {
   Json body = Json::parse(request.body, nullptr, false);
-  auto& answerable = const_cast<WebRequest&>(request);
-  if (!body.is_object()) return answerable.answer(400, kJson, "{}");
-  RealPart part;
-  part.told.name = {body.value("name", "")};
-  part.told.wall = {body.value("wall", "")};
-  part.told.weights = {body.value("weights", std::uint64_t{0})};
-  part.wall = {body.value("realWall", "")};
-  part.madeUnder = {body.value("madeUnder", std::uint64_t{0})};
-  model_.collected(part);
-  answerable.answer(200, kJson, "{}");
+  auto& mutableRequest = const_cast<WebRequest&>(request);
+  if (!body.is_object()) return mutableRequest.respond(400, kJson, "{}");
+  EngineCacheBlock block;
+  block.label.name = {body.value("name", "")};
+  block.label.cacheDomain = {body.value("wall", "")};
+  block.label.weights = {body.value("weights", std::uint64_t{0})};
+  block.actualDomain = {body.value("realWall", "")};
+  block.actualWeights = {body.value("madeUnder", std::uint64_t{0})};
+  model_.addFetchedBlock(block);
+  mutableRequest.respond(200, kJson, "{}");
 }
 
-void EngineProcess::getPart(WebRequest& request) {
-  const RealPart* part = model_.part({queryValue(request.query, "name")});
-  if (part == nullptr) return request.answer(404, kJson, "{}");
-  request.answer(200, kJson,
-                 Json{{"name", part->told.name.value},
-                      {"wall", part->told.wall.value},
-                      {"weights", part->told.weights.value},
-                      {"realWall", part->wall.value},
-                      {"madeUnder", part->madeUnder.value},
-                      {"room", setup_.link * factor_}}
-                     .dump());
+void EngineProcess::sendBlock(WebRequest& request) {
+  const EngineCacheBlock* block = model_.findBlock({queryValue(request.query, "name")});
+  if (block == nullptr) return request.respond(404, kJson, "{}");
+  request.respond(200, kJson,
+                  Json{{"name", block->label.name.value},
+                       {"wall", block->label.cacheDomain.value},
+                       {"weights", block->label.weights.value},
+                       {"realWall", block->actualDomain.value},
+                       {"madeUnder", block->actualWeights.value},
+                       {"room", config_.linkMegabytesPerSecond * linkFactor_}}
+                      .dump());
 }
 
-void EngineProcess::start(const std::shared_ptr<WebRequest>& request) {
+void EngineProcess::startRun(const std::shared_ptr<WebRequest>& request) {
   auto run = std::make_shared<Run>();
   run->request = request;
-  run->ask = parseRun(request->headers, request->body);
-  run->began = bootNow();
-  run->next = run->ask.from;
-  run->ask.run = model_.freshRun();
-  auto verdict = model_.begin(run->ask, run->began);
+  run->runRequest = parseRun(request->headers, request->body);
+  run->startTime = bootNow();
+  run->nextPiece = run->runRequest.firstPiece;
+  run->runRequest.runId = model_.newRunId();
+  auto verdict = model_.begin(run->runRequest, run->startTime);
   if (verdict.status != 200) {
     Headers headers = kJson;
     headers["X-Did-Not-Run"] = "1";
-    request->answer(verdict.status, headers, Json{{"reason", verdict.reason}}.dump());
+    request->respond(verdict.status, headers, Json{{"reason", verdict.reason}}.dump());
     return;
   }
-  request->start({{"X-Request-Id", run->ask.requestId}});
-  collect(run);
+  request->startEventStream({{"X-Request-Id", run->runRequest.requestId}});
+  fetchMissingBlocks(run);
 }
 
-void EngineProcess::collect(const std::shared_ptr<Run>& run) {
-  auto names = model_.lacking(run->ask);
-  run->waiting = names.size();
-  if (run->ask.source.value.empty()) run->waiting = 0;
-  if (run->waiting == 0) return collected(run);
+void EngineProcess::fetchMissingBlocks(const std::shared_ptr<Run>& run) {
+  auto names = model_.missingBlocks(run->runRequest);
+  run->pendingFetches = names.size();
+  if (run->runRequest.fetchSource.value.empty()) run->pendingFetches = 0;
+  if (run->pendingFetches == 0) return onBlocksFetched(run);
   for (const auto& name : names) {
-    CallWeb call;
-    call.address = run->ask.source;
+    CallHttp call;
+    call.address = run->runRequest.fetchSource;
     call.method = "GET";
     call.path = "/part?name=" + name.value;
     call.timeout = seconds(2);
-    client_.call(call, [this, run, name](const WebResult& result) {
+    client_.call(call, [this, run, name](const WebResponse& result) {
       Json body = result.status == 200 ? Json::parse(result.body, nullptr, false) : Json();
       if (body.is_object()) {
-        RealPart part;
-        part.told = {name, {body.value("wall", "")}, {body.value("weights", std::uint64_t{0})}};
-        part.wall = {body.value("realWall", "")};
-        part.madeUnder = {body.value("madeUnder", std::uint64_t{0})};
-        model_.collected(part);
-        for (const auto& asked : run->ask.parts)
-          if (asked.name == name)
-            run->megabytes +=
-                static_cast<double>(asked.characters) * setup_.partBytesPerCharacter / 1e6;
+        EngineCacheBlock block;
+        block.label = {name, {body.value("wall", "")}, {body.value("weights", std::uint64_t{0})}};
+        block.actualDomain = {body.value("realWall", "")};
+        block.actualWeights = {body.value("madeUnder", std::uint64_t{0})};
+        model_.addFetchedBlock(block);
+        for (const auto& promptPart : run->runRequest.parts)
+          if (promptPart.name == name)
+            run->fetchedMegabytes +=
+                static_cast<double>(promptPart.characters) * config_.blockBytesPerCharacter / 1e6;
       }
-      if (--run->waiting == 0) collected(run);
+      if (--run->pendingFetches == 0) onBlocksFetched(run);
     });
   }
 }
 
-void EngineProcess::collected(const std::shared_ptr<Run>& run) {
+void EngineProcess::onBlocksFetched(const std::shared_ptr<Run>& run) {
   // The bytes of blocks are not transferred; only their transfer time on this link is simulated.
-  double rate = std::max(0.001, run->ask.rate);
-  Duration collecting{};
-  if (run->megabytes > 0) {
-    fetching_ += rate;
-    double share = std::min(1.0, setup_.link * factor_ / fetching_);
-    collecting = seconds(run->megabytes / (rate * share));
-    loop_.after(collecting, [this, rate] { fetching_ -= rate; });
+  double rate = std::max(0.001, run->runRequest.fetchRate);
+  Duration fetchTime{};
+  if (run->fetchedMegabytes > 0) {
+    activeFetchRate_ += rate;
+    double share = std::min(1.0, config_.linkMegabytesPerSecond * linkFactor_ / activeFetchRate_);
+    fetchTime = seconds(run->fetchedMegabytes / (rate * share));
+    loop_.runAfter(fetchTime, [this, rate] { activeFetchRate_ -= rate; });
   }
-  std::vector<RealPart> made;
-  Duration time = collecting + model_.prefill(run->ask, made);
-  if (!run->ask.deposit.value.empty())
-    for (const auto& part : made) {
-      CallWeb call;
-      call.address = run->ask.deposit;
+  std::vector<EngineCacheBlock> newBlocks;
+  Duration delay = fetchTime + model_.prefill(run->runRequest, newBlocks);
+  if (!run->runRequest.depositAddress.value.empty())
+    for (const auto& block : newBlocks) {
+      CallHttp call;
+      call.address = run->runRequest.depositAddress;
       call.method = "POST";
       call.path = "/part";
       call.timeout = seconds(2);
-      call.body = Json{{"name", part.told.name.value},
-                       {"wall", part.told.wall.value},
-                       {"weights", part.told.weights.value},
-                       {"realWall", part.wall.value},
-                       {"madeUnder", part.madeUnder.value}}
+      call.body = Json{{"name", block.label.name.value},
+                       {"wall", block.label.cacheDomain.value},
+                       {"weights", block.label.weights.value},
+                       {"realWall", block.actualDomain.value},
+                       {"madeUnder", block.actualWeights.value}}
                       .dump();
-      client_.call(call, [](const WebResult&) {});
+      client_.call(call, [](const WebResponse&) {});
     }
-  loop_.after(time, [this, run] { generate(run); });
+  loop_.runAfter(delay, [this, run] { generate(run); });
 }
 
 void EngineProcess::generate(const std::shared_ptr<Run>& run) {
-  if (run->request->gone()) {  // the client has disconnected
+  if (run->request->isDisconnected()) {  // the client has disconnected
     model_.end(bootNow());
     return;
   }
-  run->request->event(std::to_string(run->next.value), "piece",
-                      model_.pieceText(run->ask, run->next));
-  if (++run->next.value >= static_cast<std::uint64_t>(run->ask.pieces)) {
-    run->request->event("", "end", "{}");
-    run->request->end();
+  run->request->sendEvent(std::to_string(run->nextPiece.value), "piece",
+                          model_.pieceText(run->runRequest, run->nextPiece));
+  if (++run->nextPiece.value >= static_cast<std::uint64_t>(run->runRequest.pieces)) {
+    run->request->sendEvent("", "end", "{}");
+    run->request->endStream();
     model_.end(bootNow());
     return;
   }
-  loop_.after(model_.options().pieceEvery, [this, run] { generate(run); });
+  loop_.runAfter(model_.options().pieceInterval, [this, run] { generate(run); });
 }
 
 }  // namespace peppergate
--- a/src/standin/engine_process.h
+++ b/src/standin/engine_process.h
@@ -8,47 +8,47 @@
 
 namespace peppergate {
 
-struct EngineProcessSetup {
+struct EngineProcessConfig {
   Address listen;
   std::string id = "engine";
   WeightsVersion weights{1};
-  EngineOptions options;
-  double link = 60;  // megabytes per second
-  double partBytesPerCharacter = 200;
+  EngineModelOptions options;
+  double linkMegabytesPerSecond = 60;  // megabytes per second
+  double blockBytesPerCharacter = 200;
 };
 
 /// A simulated engine that listens for HTTP requests once `open` was called.
 class EngineProcess {
  public:
-  EngineProcess(Loop& loop, EngineProcessSetup setup);
+  EngineProcess(EventLoop& loop, EngineProcessConfig config);
   absl::Status open();
 
  private:
   struct Run {
     std::shared_ptr<WebRequest> request;
-    RunAsk ask;
-    std::size_t waiting = 0;  // requests to the source that are still unanswered
-    double megabytes = 0;
-    MonotonicTime began;
-    Piece next;
+    RunRequest runRequest;
+    std::size_t pendingFetches = 0;  // requests to the source that are still unanswered
+    double fetchedMegabytes = 0;
+    MonotonicTime startTime;
+    PieceIndex nextPiece;
   };
-  void take(const std::shared_ptr<WebRequest>& request);
-  void start(const std::shared_ptr<WebRequest>& request);
-  void collect(const std::shared_ptr<Run>& run);
-  void collected(const std::shared_ptr<Run>& run);
+  void handleRequest(const std::shared_ptr<WebRequest>& request);
+  void startRun(const std::shared_ptr<WebRequest>& request);
+  void fetchMissingBlocks(const std::shared_ptr<Run>& run);
+  void onBlocksFetched(const std::shared_ptr<Run>& run);
   void generate(const std::shared_ptr<Run>& run);
-  void putPart(const WebRequest& request);
-  void getPart(WebRequest& request);
+  void storeBlock(const WebRequest& request);
+  void sendBlock(WebRequest& request);
   Json report() const;
 
-  Loop& loop_;
-  EngineProcessSetup setup_;
+  EventLoop& loop_;
+  EngineProcessConfig config_;
   EngineModel model_;
   WebClient client_;
   WebServer server_;
-  double fetching_ = 0;  // sum of the rates of fetches that use this engine's link now
-  double factor_ = 1;    // share of the link that is available; below 1 for an injected slow link
-  bool reportsOff_ = false;
+  double activeFetchRate_ = 0;  // sum of the rates of fetches that use this engine's link now
+  double linkFactor_ = 1;  // share of the link that is available; below 1 for an injected slow link
+  bool reportsDisabled_ = false;
 };
 
 }  // namespace peppergate
--- a/src/standin/platform_process.h
+++ b/src/standin/platform_process.h
@@ -9,16 +9,17 @@
 /// Serves the given engine list over HTTP once `open` was called.
 class PlatformProcess {
  public:
-  PlatformProcess(Loop& loop, Address listen, Json list);
+  PlatformProcess(EventLoop& loop, Address listen, Json engineList);
   absl::Status open();
 
  private:
-  void take(const std::shared_ptr<WebRequest>& request);
-  void mark(const std::string& id, bool draining, bool listed);
+  void handleRequest(const std::shared_ptr<WebRequest>& request);
+  void updateEngine(const std::string& id, bool draining, bool listed);
 
   Address listen_;
-  Json list_;
-  Json away_ = Json::object();  // entries that are removed from the list for now, by engine id
+  Json engineList_;
+  Json unlistedEngines_ =
+      Json::object();  // entries that are removed from the list for now, by engine id
   WebClient client_;
   WebServer server_;
 };
--- a/src/standin/requester_process.h
+++ b/src/standin/requester_process.h
@@ -10,59 +10,59 @@
 
 namespace peppergate {
 
-struct RequesterSetup {
+struct RequesterConfig {
   std::string profile = "hutline";
   double rate = 50;
-  Duration length = seconds(10);
-  std::vector<Address> fronts;
+  Duration duration = seconds(10);
+  std::vector<Address> routers;
   std::uint64_t seed = 1;
-  std::uint64_t documents = 4;
-  std::set<std::string> withdrawn;  // tenants whose key was withdrawn
+  std::uint64_t documentCount = 4;
+  std::set<std::string> withdrawnTenants;  // tenants whose key was withdrawn
 };
 
 /// Sends requests at a constant rate and reports outcomes, latencies and violated guarantees.
 class RequesterProcess {
  public:
-  RequesterProcess(Loop& loop, RequesterSetup setup);
+  RequesterProcess(EventLoop& loop, RequesterConfig config);
   /// Starts to send; calls `done` with the report after the last answer.
-  void start(std::function<void(const Json&)> done);
+  void start(std::function<void(const Json&)> onDone);
 
  private:
-  struct Ask {
+  struct PendingRequest {
     std::uint64_t id = 0;
     std::string tenant;
     std::vector<std::string> texts;
-    bool unary = false, resumable = false, resumed = false;
-    std::uint64_t pieces = 8, next = 0, weights = 0;
-    MonotonicTime asked, deadline, first = kForever;
+    bool isUnary = false, resumable = false, resumed = false;
+    std::uint64_t pieceCount = 8, nextPiece = 0, weights = 0;
+    MonotonicTime startTime, deadline, firstEventTime = kForever;
     std::string body;
-    std::string run;  // id of the engine's run that produced the pieces
+    std::string runId;  // id of the engine's run that produced the pieces
   };
   struct Stream;
-  friend struct RequesterBacks;
+  friend struct RequesterCallbacks;
   void tick();
-  void sendOne();
-  void send(const std::shared_ptr<Ask>& ask);
-  void streamHead(Stream& stream, int status, const Headers& headers);
-  void piece(Stream& stream, const EventReader::OneEvent& event);
-  void done(const std::shared_ptr<Stream>& stream, int status, const std::string& body);
-  void finish(const std::string& end);
-  void violation(const std::string& kind) { ++violations_[kind]; }
-  Json verdict();
+  void sendNewRequest();
+  void send(const std::shared_ptr<PendingRequest>& pending);
+  void onResponseHead(Stream& stream, int status, const Headers& headers);
+  void onEvent(Stream& stream, const ServerSentEventParser::ServerSentEvent& event);
+  void onResponseEnd(const std::shared_ptr<Stream>& stream, int status, const std::string& body);
+  void recordOutcome(const std::string& outcome);
+  void recordViolation(const std::string& kind) { ++violations_[kind]; }
+  Json makeReport();
 
-  Loop& loop_;
-  RequesterSetup setup_;
+  EventLoop& loop_;
+  RequesterConfig config_;
   Random random_;
-  MonotonicTime began_, last_;
-  double due_ = 0;
-  std::uint64_t sent_ = 0, open_ = 0;
-  std::map<std::string, std::uint64_t> ends_, violations_;
-  std::vector<double> firsts_;
-  std::vector<std::string> toldNotRun_;
-  std::function<void(const Json&)> done_;
+  MonotonicTime startTime_, lastTick_;
+  double dueRequests_ = 0;
+  std::uint64_t sentRequests_ = 0, openRequests_ = 0;
+  std::map<std::string, std::uint64_t> outcomes_, violations_;
+  std::vector<double> firstEventSeconds_;
+  std::vector<std::string> reportedNotRun_;
+  std::function<void(const Json&)> onDone_;
   std::map<std::uint64_t, std::shared_ptr<Stream>> streams_;
-  std::uint64_t lastStream_ = 0;
-  bool over_ = false;
+  std::uint64_t lastStreamId_ = 0;
+  bool finished_ = false;
 };
 
 }  // namespace peppergate
--- a/src/wire/body_bounds.h
+++ b/src/wire/body_bounds.h
@@ -16,7 +16,7 @@
  public:
   explicit BodyCursor(std::span<const char> body) : rest_(body) {}
   bool atEnd() const { return rest_.empty(); }
-  std::size_t left() const { return rest_.size(); }
+  std::size_t remaining() const { return rest_.size(); }
   /// Skips `count` bytes; false if fewer remain.
   bool skip(std::uint64_t count) {
     if (count > rest_.size()) return false;
@@ -47,10 +47,10 @@
 
 struct FieldSkipper {
   BodyCursor& cursor;
-  bool good = true;
+  bool valid = true;
   template <class T>
   void operator()(const char*, const T&) {
-    good = good && skipValue<T>(cursor);
+    valid = valid && skipValue<T>(cursor);
   }
 };
 
@@ -62,13 +62,13 @@
     std::int64_t count = 0;
     if (!cursor.readNumber(count) || count < 0) return false;  // our writer emits no sized blocks
     if (count == 0) return true;
-    if (static_cast<std::uint64_t>(count) > cursor.left()) return false;
+    if (static_cast<std::uint64_t>(count) > cursor.remaining()) return false;
     for (; count > 0; --count)
       if (!skipValue<Element>(cursor)) return false;
   }
 }
 
-/// Skips one value in the coding of `putValue`; false if it extends beyond the body.
+/// Skips one value in the coding of `writeValue`; false if it extends beyond the body.
 template <class T>
 bool skipValue(BodyCursor& cursor) {
   if constexpr (kIsTagged<T>) {
@@ -90,7 +90,7 @@
     FieldSkipper skipper{cursor};
     const T fields{};
     T::visit(fields, skipper);
-    return skipper.good;
+    return skipper.valid;
   }
 }
 
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -26,7 +26,7 @@
 // Builds Avro schemas from the same `visit` functions that write and read the values.
 struct SchemaWriter {
   Json& fields;
-  int& counter;
+  int& recordCounter;
   template <class T>
   void operator()(const char* name, const T& field) {
     fields.push_back({{"name", name}, {"type", schemaOf(field)}});
@@ -44,8 +44,8 @@
       return {{"type", "array"}, {"items", schemaOf(typename T::value_type{})}};
     else {
       Json inner = Json::array();
-      std::string name = "Record" + std::to_string(counter++);
-      SchemaWriter writer{inner, counter};
+      std::string name = "Record" + std::to_string(recordCounter++);
+      SchemaWriter writer{inner, recordCounter};
       T::visit(field, writer);
       return {{"type", "record"}, {"name", name}, {"fields", inner}};
     }
@@ -53,7 +53,7 @@
 };
 
 template <class T>
-void putValue(avro_value_t* target, const T& field);
+void writeValue(avro_value_t* target, const T& field);
 
 struct AvroWriter {
   avro_value_t* record;
@@ -62,13 +62,13 @@
   void operator()(const char*, const T& field) {
     avro_value_t slot;
     avro_value_get_by_index(record, index++, &slot, nullptr);
-    putValue(&slot, field);
+    writeValue(&slot, field);
   }
 };
 
 template <class T>
-void putValue(avro_value_t* target, const T& field) {
-  if constexpr (kIsTagged<T>) putValue(target, field.value);
+void writeValue(avro_value_t* target, const T& field) {
+  if constexpr (kIsTagged<T>) writeValue(target, field.value);
   else if constexpr (std::is_same_v<T, std::string>)
     avro_value_set_bytes(target, const_cast<char*>(field.data()), field.size());
   else if constexpr (std::is_same_v<T, bool>) avro_value_set_boolean(target, field ? 1 : 0);
@@ -81,7 +81,7 @@
     for (const auto& element : field) {
       avro_value_t slot;
       avro_value_append(target, &slot, nullptr);
-      putValue(&slot, element);
+      writeValue(&slot, element);
     }
   } else {
     AvroWriter writer{target};
@@ -90,36 +90,36 @@
 }
 
 template <class T>
-bool takeValue(avro_value_t* source, T& field);
+bool readValue(avro_value_t* source, T& field);
 
 struct AvroReader {
   avro_value_t* record;
-  bool good = true;
+  bool valid = true;
   std::size_t index = 0;
   template <class T>
   void operator()(const char*, T& field) {
     avro_value_t slot;
-    good = good && avro_value_get_by_index(record, index++, &slot, nullptr) == 0 &&
-           takeValue(&slot, field);
+    valid = valid && avro_value_get_by_index(record, index++, &slot, nullptr) == 0 &&
+            readValue(&slot, field);
   }
 };
 
 template <class T>
-bool takeVector(avro_value_t* source, std::vector<T>& field) {
+bool readVector(avro_value_t* source, std::vector<T>& field) {
   std::size_t count = 0;
   if (avro_value_get_size(source, &count) != 0) return false;
   field.clear();
   for (std::size_t index = 0; index < count; ++index) {
     avro_value_t slot;
     if (avro_value_get_by_index(source, index, &slot, nullptr) != 0) return false;
-    if (!takeValue(&slot, field.emplace_back())) return false;
+    if (!readValue(&slot, field.emplace_back())) return false;
   }
   return true;
 }
 
 template <class T>
-bool takeValue(avro_value_t* source, T& field) {
-  if constexpr (kIsTagged<T>) return takeValue(source, field.value);
+bool readValue(avro_value_t* source, T& field) {
+  if constexpr (kIsTagged<T>) return readValue(source, field.value);
   else if constexpr (std::is_same_v<T, std::string>) {
     const void* bytes = nullptr;
     std::size_t size = 0;
@@ -141,11 +141,11 @@
     field = static_cast<T>(raw);
     return true;
   } else if constexpr (kIsVector<T>) {
-    return takeVector(source, field);
+    return readVector(source, field);
   } else {
     AvroReader reader{source};
     T::visit(field, reader);
-    return reader.good;
+    return reader.valid;
   }
 }
 
@@ -166,7 +166,7 @@
 
 template <std::size_t Index>
 bool decodeInto(avro_value_t* value, Message& message) {
-  return takeValue(value, message.emplace<Index>());
+  return readValue(value, message.emplace<Index>());
 }
 
 template <std::size_t... Indexes>
@@ -178,61 +178,63 @@
 }
 
 template <std::size_t... Indexes>
-bool fitsKind(std::size_t kind, std::span<const char> body, std::index_sequence<Indexes...>) {
+bool bodyFitsKind(std::size_t kind, std::span<const char> body, std::index_sequence<Indexes...>) {
   using Check = bool (*)(std::span<const char>);
   constexpr std::array<Check, kKinds> checks{
       &bodyFits<std::variant_alternative_t<Indexes, Message>>...};
   return checks[kind](body);
 }
 
-struct ValueClass {
+struct AvroType {
   avro_schema_t schema = nullptr;
-  avro_value_iface_t* shape = nullptr;
+  avro_value_iface_t* valueInterface = nullptr;
 };
 
-std::array<ValueClass, kKinds> makeClasses() {
+std::array<AvroType, kKinds> makeAvroTypes() {
   auto schemas = allSchemas(std::make_index_sequence<kKinds>{});
-  std::array<ValueClass, kKinds> classes;
+  std::array<AvroType, kKinds> types;
   for (std::size_t index = 0; index < kKinds; ++index) {
     avro_schema_from_json_length(schemas[index].data(), schemas[index].size(),
-                                 &classes[index].schema);
-    classes[index].shape = avro_generic_class_from_schema(classes[index].schema);
+                                 &types[index].schema);
+    types[index].valueInterface = avro_generic_class_from_schema(types[index].schema);
   }
-  return classes;
+  return types;
 }
 
-const ValueClass& classOf(std::size_t kind) {
-  static const std::array<ValueClass, kKinds> kClasses = makeClasses();
-  return kClasses[kind];
+const AvroType& avroTypeOf(std::size_t kind) {
+  static const std::array<AvroType, kKinds> kTypes = makeAvroTypes();
+  return kTypes[kind];
 }
 
 struct AvroValue {
   avro_value_t value{};
-  explicit AvroValue(std::size_t kind) { avro_generic_value_new(classOf(kind).shape, &value); }
+  explicit AvroValue(std::size_t kind) {
+    avro_generic_value_new(avroTypeOf(kind).valueInterface, &value);
+  }
   ~AvroValue() { avro_value_decref(&value); }
   AvroValue(const AvroValue&) = delete;
   AvroValue& operator=(const AvroValue&) = delete;
 };
 
 template <class T>
-void putNumber(std::string& out, T number) {
+void appendBigEndian(std::string& out, T number) {
   for (std::size_t shift = sizeof(T); shift-- > 0;)
     out.push_back(static_cast<char>((number >> (8 * shift)) & 0xff));
 }
 
 template <class T>
-T takeNumber(std::span<const char> bytes, std::size_t offset) {
+T readBigEndian(std::span<const char> bytes, std::size_t offset) {
   T number = 0;
   for (std::size_t index = 0; index < sizeof(T); ++index)
     number = static_cast<T>((number << 8) | static_cast<unsigned char>(bytes[offset + index]));
   return number;
 }
 
-struct Putter {
+struct MessageWriter {
   avro_value_t* value;
   template <class T>
   void operator()(const T& message) const {
-    putValue(value, message);
+    writeValue(value, message);
   }
 };
 
@@ -248,67 +250,67 @@
 
 std::string encodeFrame(std::uint64_t mark, const Message& message) {
   AvroValue value(message.index());
-  std::visit(Putter{&value.value}, message);
+  std::visit(MessageWriter{&value.value}, message);
   std::size_t size = 0;
   avro_value_sizeof(&value.value, &size);
   std::string frame;
-  frame.reserve(kFrameHeadSize + size);
-  putNumber(frame, kFrameMagic);
-  putNumber(frame, kWireVersion);
-  putNumber(frame, static_cast<std::uint16_t>(message.index()));
-  putNumber(frame, mark);
-  putNumber(frame, static_cast<std::uint32_t>(size));
-  putNumber(frame, std::uint32_t{0});
-  frame.resize(kFrameHeadSize + size);
+  frame.reserve(kFrameHeadBytes + size);
+  appendBigEndian(frame, kFrameMagic);
+  appendBigEndian(frame, kWireVersion);
+  appendBigEndian(frame, static_cast<std::uint16_t>(message.index()));
+  appendBigEndian(frame, mark);
+  appendBigEndian(frame, static_cast<std::uint32_t>(size));
+  appendBigEndian(frame, std::uint32_t{0});
+  frame.resize(kFrameHeadBytes + size);
   avro_writer_t writer =
-      avro_writer_memory(frame.data() + kFrameHeadSize, static_cast<std::int64_t>(size));
+      avro_writer_memory(frame.data() + kFrameHeadBytes, static_cast<std::int64_t>(size));
   avro_value_write(writer, &value.value);
   avro_writer_free(writer);
-  std::string sum;
-  putNumber(sum, XXH32(frame.data() + kFrameHeadSize, size, 0));
-  frame.replace(kFrameHeadSize - sum.size(), sum.size(), sum);
+  std::string checksum;
+  appendBigEndian(checksum, XXH32(frame.data() + kFrameHeadBytes, size, 0));
+  frame.replace(kFrameHeadBytes - checksum.size(), checksum.size(), checksum);
   return frame;
 }
 
 FrameHead readFrameHead(std::uint64_t mark, std::span<const char> bytes) {
   FrameHead head;
-  head.kind = takeNumber<std::uint16_t>(bytes, 6);
-  head.length = takeNumber<std::uint32_t>(bytes, 16);
-  head.sum = takeNumber<std::uint32_t>(bytes, 20);
-  if (takeNumber<std::uint32_t>(bytes, 0) != kFrameMagic) head.fault = FrameFault::kBadMagic;
-  else if (takeNumber<std::uint16_t>(bytes, 4) != kWireVersion)
+  head.kind = readBigEndian<std::uint16_t>(bytes, 6);
+  head.length = readBigEndian<std::uint32_t>(bytes, 16);
+  head.checksum = readBigEndian<std::uint32_t>(bytes, 20);
+  if (readBigEndian<std::uint32_t>(bytes, 0) != kFrameMagic) head.fault = FrameFault::kBadMagic;
+  else if (readBigEndian<std::uint16_t>(bytes, 4) != kWireVersion)
     head.fault = FrameFault::kOtherWireVersion;
-  else if (takeNumber<std::uint64_t>(bytes, 8) != mark) head.fault = FrameFault::kOtherFleet;
+  else if (readBigEndian<std::uint64_t>(bytes, 8) != mark) head.fault = FrameFault::kOtherFleet;
   else if (head.kind >= kKinds) head.fault = FrameFault::kUnknownKind;
-  else if (head.length > kLargestFrame) head.fault = FrameFault::kTooLarge;
+  else if (head.length > kMaxFrameBytes) head.fault = FrameFault::kTooLarge;
   return head;
 }
 
-bool bodyIsWhole(const FrameHead& head, std::span<const char> body) {
-  return body.size() == head.length && XXH32(body.data(), body.size(), 0) == head.sum;
+bool bodyMatchesHead(const FrameHead& head, std::span<const char> body) {
+  return body.size() == head.length && XXH32(body.data(), body.size(), 0) == head.checksum;
 }
 
 absl::StatusOr<Message> decodeBody(std::uint16_t kind, std::span<const char> body) {
   if (kind >= kKinds)
-    return absl::InvalidArgumentError(std::string(faultName(FrameFault::kUnknownKind)));
+    return absl::InvalidArgumentError(std::string(frameFaultName(FrameFault::kUnknownKind)));
   // The library allocates whatever size a body declares, so bodies are validated first.
-  if (!fitsKind(kind, body, std::make_index_sequence<kKinds>{}))
-    return absl::DataLossError(std::string(faultName(FrameFault::kBadBody)));
+  if (!bodyFitsKind(kind, body, std::make_index_sequence<kKinds>{}))
+    return absl::DataLossError(std::string(frameFaultName(FrameFault::kBadBody)));
   AvroValue value(kind);
   avro_reader_t reader = avro_reader_memory(body.data(), static_cast<std::int64_t>(body.size()));
   bool good = avro_value_read(reader, &value.value) == 0;
   avro_reader_free(reader);
   Message message;
   if (good) good = decodeKind(kind, &value.value, message, std::make_index_sequence<kKinds>{});
-  if (!good) return absl::DataLossError(std::string(faultName(FrameFault::kBadBody)));
+  if (!good) return absl::DataLossError(std::string(frameFaultName(FrameFault::kBadBody)));
   return message;
 }
 
-std::string schemaText(std::uint16_t kind) {
+std::string avroSchemaText(std::uint16_t kind) {
   return allSchemas(std::make_index_sequence<kKinds>{})[kind];
 }
 
-std::string_view faultName(FrameFault fault) {
+std::string_view frameFaultName(FrameFault fault) {
   static constexpr std::array<std::string_view, 8> kNames{
       "none",         "bad magic", "other wire version", "other fleet",
       "unknown kind", "too large", "bad body",           "bad sum"};
--- a/tests/client_departure_test.cc
+++ b/tests/client_departure_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 /// A response in which an engine states that it did not run the request.
-std::string declineFor(const Asked& asked) {
-  return "HTTP/1.1 503 Busy\r\nX-Attempt-Id: " + asked.id +
+std::string notRunResponse(const TestRequest& testRequest) {
+  return "HTTP/1.1 503 Busy\r\nX-Attempt-Id: " + testRequest.id +
          "\r\nX-Not-Delivered: full\r\nContent-Length: 0\r\n\r\n";
 }
 
@@ -40,62 +40,63 @@
 }  // namespace
 
 TEST_GROUP(ClientDepartures) {
-  std::string running, broken;
+  std::string context, failures;
 
   /// Records a failure; all failures are reported together at the end of the test.
   void check(bool good, const char* rule) {
-    if (!good) broken += "\n" + running + ": " + rule;
+    if (!good) failures += "\n" + context + ": " + rule;
   }
-  static std::size_t sentTo(HttpPath & path, std::size_t engine, const Asked& asked) {
+  static std::size_t sentTo(RouterHarness & router, std::size_t engine,
+                            const TestRequest& testRequest) {
     std::size_t count = 0;
-    for (const auto& peer : path.engines[engine]->peers)
-      if (peer->has("X-Attempt-Id: " + asked.id + "\r\n")) ++count;
+    for (const auto& peer : router.engines[engine]->peers)
+      if (peer->hasReceived("X-Attempt-Id: " + testRequest.id + "\r\n")) ++count;
     return count;
   }
-  static std::size_t sentAnywhere(HttpPath & path, const Asked& asked) {
+  static std::size_t sentAnywhere(RouterHarness & router, const TestRequest& testRequest) {
     std::size_t count = 0;
-    for (std::size_t engine = 0; engine < HttpPath::kEngines; ++engine)
-      count += sentTo(path, engine, asked);
+    for (std::size_t engine = 0; engine < RouterHarness::kEngines; ++engine)
+      count += sentTo(router, engine, testRequest);
     return count;
   }
-  static void turnOnce(HttpPath & path) {
-    event_base_loop(path.loop.base(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
+  static void runOneIteration(RouterHarness & router) {
+    event_base_loop(router.loop.base(), EVLOOP_ONCE | EVLOOP_NONBLOCK);
   }
 
-  void leaveAt(HttpPath & path, Stage stage, const Asked& asked) {
-    auto client = path.send(asked);
+  void disconnectAt(RouterHarness & router, Stage stage, const TestRequest& testRequest) {
+    auto client = router.send(testRequest);
     if (stage == Stage::kUnread) {
-      client->leave(false);
-      path.loop.turn();
-      check(sentAnywhere(path, asked) == 0,
+      client->disconnect(false);
+      router.loop.runPending();
+      check(sentAnywhere(router, testRequest) == 0,
             "a request was sent to an engine after its client had disconnected");
       return;
     }
     if (stage == Stage::kConnecting) {
-      while (path.live() == 0) turnOnce(path);
-      client->leave(false);
-      path.loop.turn();
-      check(sentAnywhere(path, asked) == 0,
+      while (router.liveRequests() == 0) runOneIteration(router);
+      client->disconnect(false);
+      router.loop.runPending();
+      check(sentAnywhere(router, testRequest) == 0,
             "a request was written to an engine after its client had disconnected");
       return;
     }
-    EngineRequest request = path.arrived(asked);
-    path.answered(request);
+    EngineRequest request = router.waitForRequest(testRequest);
+    router.markAnswered(request);
     if (stage == Stage::kReadingPaused) {
-      client->send(asked.text() + std::string(80U << 10, 'x'));
-      path.loop.turn();
+      client->send(testRequest.wireText() + std::string(80U << 10, 'x'));
+      router.loop.runPending();
     }
     if (stage == Stage::kStreaming) {
-      std::string answer = answerFor(asked, request.engine, Framing::kChunked);
+      std::string answer = engineResponse(testRequest, request.engine, Framing::kChunked);
       request.peer->send(std::string_view(answer).substr(0, answer.size() - 10));
-      check(path.loop.until([&] { return client->has("200 OK"); }),
+      check(router.loop.runUntil([&] { return client->hasReceived("200 OK"); }),
             "the client received no events");
     }
-    client->leave(false);
-    if (stage == Stage::kDeclined) request.peer->send(declineFor(asked));
-    if (stage == Stage::kBroken) request.peer->leave(true);
-    path.loop.turn();
-    check(sentAnywhere(path, asked) == 1,
+    client->disconnect(false);
+    if (stage == Stage::kDeclined) request.peer->send(notRunResponse(testRequest));
+    if (stage == Stage::kBroken) request.peer->disconnect(true);
+    router.loop.runPending();
+    check(sentAnywhere(router, testRequest) == 1,
           "a request was sent to another engine after its client had disconnected");
     if (stage == Stage::kDeclined || stage == Stage::kBroken) return;  // the engine is already done
     check(request.peer->ended || request.peer->failed,
@@ -107,14 +108,14 @@
   std::uint64_t number = 0;
   for (std::string_view host : kHosts)
     for (const auto& [stage, name] : kStages) {
-      Asked asked;
-      asked.id = "t" + std::to_string(++number);
-      asked.host = host;
-      running = std::string(host) + ", " + std::string(name);
-      HttpPath path;
-      leaveAt(path, stage, asked);
-      path.loop.turn();
-      check(path.live() == 0, "a request remains after its client has disconnected");
+      TestRequest testRequest;
+      testRequest.id = "t" + std::to_string(++number);
+      testRequest.host = host;
+      context = std::string(host) + ", " + std::string(name);
+      RouterHarness router;
+      disconnectAt(router, stage, testRequest);
+      router.loop.runPending();
+      check(router.liveRequests() == 0, "a request remains after its client has disconnected");
     }
-  if (!broken.empty()) FAIL(broken.c_str());
+  if (!failures.empty()) FAIL(failures.c_str());
 }
--- a/tests/config_cores_test.cc
+++ b/tests/config_cores_test.cc
@@ -17,9 +17,9 @@
   settle();
   for (int index = 0; index <= kFront; ++index)
     LONGS_EQUAL(404, machines.ask(index, "GET", "/config").status);
-  LONGS_EQUAL(200, machines.ask(kFront, "POST", "/change", change("a", 0, 5)).status);
+  LONGS_EQUAL(200, machines.ask(kFront, "POST", "/change", replaceChangeBody("a", 0, 5)).status);
   for (int index = 0; index <= kFront; ++index) {
-    AnswerWeb web = machines.ask(index, "GET", "/config");
+    AnswerHttp web = machines.ask(index, "GET", "/config");
     LONGS_EQUAL(200, web.status);
     STRCMP_EQUAL(R"({"config":{"by":"a","version":5},"version":5})", web.body.c_str());
   }
@@ -30,28 +30,30 @@
 
 TEST(ConfigCores, OfTwoConcurrentChangesOnOneBaseOneIsStale) {
   settle();
-  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
-  TicketId one = machines.send(1, "POST", "/change", change("b", 5, 7));
-  TicketId other = machines.send(kFront, "POST", "/change", change("c", 5, 9));
+  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", replaceChangeBody("a", 0, 5)).status);
+  TicketId one = machines.send(1, "POST", "/change", replaceChangeBody("b", 5, 7));
+  TicketId other = machines.send(kFront, "POST", "/change", replaceChangeBody("c", 5, 9));
   machines.run(3);
-  const AnswerWeb *first = machines.answerTo(one), *second = machines.answerTo(other);
+  const AnswerHttp *first = machines.answerTo(one), *second = machines.answerTo(other);
   CHECK(first != nullptr && second != nullptr);
   LONGS_EQUAL(200 + 409, first->status + second->status);
-  const AnswerWeb& stale = first->status == 409 ? *first : *second;
+  const AnswerHttp& stale = first->status == 409 ? *first : *second;
   int newest = first->status == 409 ? 9 : 7;
   LONGS_EQUAL(newest, bodyOf(stale)["newest"].get<int>());
   LONGS_EQUAL(newest, bodyOf(machines.ask(2, "GET", "/config"))["version"].get<int>());
-  LONGS_EQUAL(200, machines.ask(2, "POST", "/change", change("a", 0, 5)).status);  // again
+  LONGS_EQUAL(200,
+              machines.ask(2, "POST", "/change", replaceChangeBody("a", 0, 5)).status);  // again
 }
 
 TEST(ConfigCores, RepeatedChangeWaitsForRoutersAfterLeaderChange) {
   settle();
-  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
+  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", replaceChangeBody("a", 0, 5)).status);
   machines.kill(kFront);  // not yet considered dead: it may act on an older proof
   machines.kill(*machines.primary());
   for (int turn = 0; turn < 100 && !machines.primary(); ++turn) machines.run(0.05);
   CHECK(machines.primary().has_value());
-  TicketId ticket = machines.send(*machines.primary(), "POST", "/change", change("a", 0, 5));
+  TicketId ticket =
+      machines.send(*machines.primary(), "POST", "/change", replaceChangeBody("a", 0, 5));
   machines.run(1);
   CHECK(machines.answerTo(ticket) == nullptr);
   machines.run(2);
@@ -60,10 +62,10 @@
 
 TEST(ConfigCores, ChangeAndReadSurvivePrimaryFailure) {
   settle();
-  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", change("a", 0, 5)).status);
+  LONGS_EQUAL(200, machines.ask(0, "POST", "/change", replaceChangeBody("a", 0, 5)).status);
   int lost = *machines.primary();
   machines.kill(lost);
-  TicketId ticket = machines.send(kFront, "POST", "/change", change("b", 5, 7));
+  TicketId ticket = machines.send(kFront, "POST", "/change", replaceChangeBody("b", 5, 7));
   machines.run(5);
   CHECK(machines.primary().has_value());
   CHECK(machines.answerTo(ticket) != nullptr);
--- a/tests/config_fleet_test.cc
+++ b/tests/config_fleet_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char* kWhole = R"json({
+constexpr const char* kCompleteConfig = R"json({
   "version": 7,
   "routes": [
     {"name": "ask", "host": "Desk.example", "prefix": "/a/", "kind": "stream", "timeoutMs": 8000,
@@ -30,12 +30,12 @@
               {"name": "blue", "keys": ["k3"]}]
 })json";
 
-Json whole() { return Json::parse(kWhole); }
+Json completeConfig() { return Json::parse(kCompleteConfig); }
 
 /// The field for which a patched configuration is rejected; empty if it is accepted.
-std::string faultOf(const char* patch) {
-  auto fault = checkFleetConfig(whole().patch(Json::parse(patch)));
-  return fault ? fault->field : "";
+std::string rejectedField(const char* patch) {
+  auto error = checkFleetConfig(completeConfig().patch(Json::parse(patch)));
+  return error ? error->field : "";
 }
 
 std::string nameOf(const Route* route) { return route == nullptr ? "none" : route->name; }
@@ -45,17 +45,20 @@
 TEST_GROUP(FleetConfigs){};
 
 TEST(FleetConfigs, ReadsEveryField) {
-  FleetConfig config = *readFleetConfig(whole());
+  FleetConfig config = *readFleetConfig(completeConfig());
   LONGS_EQUAL(7, config.version.value);
   const Route& ask = config.routes.at(0);
-  CHECK(ask.kind == RouteKind::kStream && ask.resumable && ask.repeatable() && !ask.open);
-  CHECK(ask.timeout == seconds(8) && ask.target == seconds(0.6) && ask.gapTarget == seconds(0.4));
+  CHECK(ask.kind == RouteKind::kStream && ask.resumable && ask.isRepeatable() &&
+        !ask.allowsAnonymous);
+  CHECK(ask.timeout == seconds(8) && ask.responseTarget == seconds(0.6) &&
+        ask.eventGapTarget == seconds(0.4));
   LONGS_EQUAL(1, ask.urgency);
   LONGS_EQUAL(2, ask.attempts);
   CHECK(ask.services.size() == 2 && ask.services[1].service == ServiceName{"desk"});
   DOUBLES_EQUAL(10, ask.services[1].weight, 0);
   const Route& deep = config.routes.at(1);
-  CHECK(deep.kind == RouteKind::kSafe && deep.open && deep.target == deep.timeout);
+  CHECK(deep.kind == RouteKind::kSafe && deep.allowsAnonymous &&
+        deep.responseTarget == deep.timeout);
   CHECK(deep.services.size() == 1 && deep.services[0].service == ServiceName{"desk"});
   CHECK(config.routes.at(2).kind == RouteKind::kUnsafe);
   CHECK(config.routes.at(2).timeout == Duration{500});
@@ -63,12 +66,12 @@
   STRCMP_EQUAL("/health", model.healthPath.c_str());
   LONGS_EQUAL(630, model.connectionLimit);
   CHECK(model.engine && model.engine->slots == 128 && model.engine->kvTokens == 239003);
-  CHECK(model.engine->kvTokenBytes == 18432 && model.engine->stride == 5);
-  CHECK(model.engine->largestPolls == 12 && model.engine->models.at(0) == ModelName{"m"});
+  CHECK(model.engine->kvTokenBytes == 18432 && model.engine->maxTokensPerEvent == 5);
+  CHECK(model.engine->maxConcurrentPolls == 12 && model.engine->models.at(0) == ModelName{"m"});
   DOUBLES_EQUAL(370000, model.engine->linkMbps, 0);
-  CHECK(config.store() != nullptr && config.store()->name == ServiceName{"shelf"});
-  CHECK(config.store()->store->address == Address{"172.20.0.2:8680"});
-  CHECK(config.store()->store->zone == Zone{"north"});
+  CHECK(config.storeService() != nullptr && config.storeService()->name == ServiceName{"shelf"});
+  CHECK(config.storeService()->store->address == Address{"172.20.0.2:8680"});
+  CHECK(config.storeService()->store->zone == Zone{"north"});
   CHECK(config.limits.headerBytes == 8192 && config.limits.bodyBytes == 1048576);
   CHECK(config.limits.headerWait == seconds(2) && config.limits.idle == seconds(9));
   const TenantConfig& red = config.tenants.at({"red"});
@@ -76,7 +79,7 @@
 }
 
 TEST(FleetConfigs, FindsTheTenantOfAKey) {
-  FleetConfig config = *readFleetConfig(whole());
+  FleetConfig config = *readFleetConfig(completeConfig());
   CHECK(config.tenantOfKey("k2")->name == TenantId{"red"});
   CHECK(config.tenantOfKey("k3")->name == TenantId{"blue"});
   CHECK(config.tenantOfKey("k") == nullptr);
@@ -84,7 +87,7 @@
 }
 
 TEST(FleetConfigs, LongestPrefixOfTheHostWins) {
-  FleetConfig config = *readFleetConfig(whole());
+  FleetConfig config = *readFleetConfig(completeConfig());
   struct Row {
     const char* host;
     const char* path;
@@ -103,7 +106,7 @@
                                        {"", "/a/", "none"}}};
   for (const auto& row : kRows)
     STRCMP_EQUAL(row.route, nameOf(config.route(row.host, row.path)).c_str());
-  STRCMP_EQUAL("[::1]", plainHost("[::1]:80").c_str());
+  STRCMP_EQUAL("[::1]", normalizeHost("[::1]:80").c_str());
 }
 
 TEST(FleetConfigs, EveryErrorNamesItsField) {
@@ -158,7 +161,8 @@
       {R"([{"op":"replace","path":"/version","value":7.5}])", "[version]"},
       {R"([{"op":"remove","path":"/version"}])", "[version]"},
   }};
-  for (const auto& row : kRows) STRCMP_EQUAL_TEXT(row.field, faultOf(row.patch).c_str(), row.patch);
+  for (const auto& row : kRows)
+    STRCMP_EQUAL_TEXT(row.field, rejectedField(row.patch).c_str(), row.patch);
   for (const char* document : {"[]", "null", "3", "\"text\""})
     STRCMP_EQUAL("<root>", checkFleetConfig(Json::parse(document))->field.c_str());
   CHECK_FALSE(readFleetConfig(Json::object()).ok());
@@ -193,7 +197,7 @@
         R"([{"op":"replace","path":"/routes","value":[]}])",
         R"([{"op":"remove","path":"/routes"}])",
         R"([{"op":"remove","path":"/routes"},{"op":"remove","path":"/services"}])"})
-    STRCMP_EQUAL_TEXT("", faultOf(patch).c_str(), patch);
+    STRCMP_EQUAL_TEXT("", rejectedField(patch).c_str(), patch);
 }
 
 TEST(FleetConfigs, AmendmentReplacesInPlaceAppendsAndRemoves) {
@@ -205,14 +209,14 @@
       "limits": {"idleMs": 5}},
     "remove": {"routes": ["all", "never-there"], "tenants": ["blue"], "unknown": ["x"]}})json");
   CHECK_FALSE(checkFleetAmendment(amendment).has_value());
-  Json made = amendFleetConfig(whole(), amendment);
+  Json made = amendFleetConfig(completeConfig(), amendment);
   LONGS_EQUAL(9, made["version"].get<int>());
   std::string names;
   for (const auto& route : made["routes"]) names += route["name"].get<std::string>() + " ";
   STRCMP_EQUAL("ask deep new ", names.c_str());
-  CHECK(made["routes"][0] == whole()["routes"][0]);
+  CHECK(made["routes"][0] == completeConfig()["routes"][0]);
   CHECK(made["routes"][1] == amendment["upsert"]["routes"][0]);
-  CHECK(made["services"] == whole()["services"]);
+  CHECK(made["services"] == completeConfig()["services"]);
   CHECK(made["limits"] == amendment["upsert"]["limits"]);
   LONGS_EQUAL(1, made["tenants"].size());
   FleetConfig config = *readFleetConfig(made);
--- a/tests/config_machines.h
+++ b/tests/config_machines.h
@@ -28,13 +28,13 @@
     for (int index = 0; index <= kFront; ++index) {
       MemberRecord self;
       self.member = {static_cast<std::uint64_t>(100 + index)};
-      self.address = self.pages = machineAddress(index);
-      self.role = index == kFront ? Role::kFront : Role::kCore;
-      DiskFound disk;
-      disk.files["identity"] = identityFile({static_cast<std::uint64_t>(1 + index)});
+      self.address = self.pagesAddress = machineAddress(index);
+      self.role = index == kFront ? Role::kRouter : Role::kCore;
+      DiskContents disk;
+      disk.files["identity"] = identityFileContent({static_cast<std::uint64_t>(1 + index)});
       std::vector<Address> seeds{machineAddress(0)};
       Bootstrap bootstrap;
-      if (index == 0) bootstrap.cores = kCores;
+      if (index == 0) bootstrap.expectedCores = kCores;
       if (index == kFront)
         nodes_.push_back(std::make_unique<FrontNode>(options_, self, seeds, Address{}, 9));
       else
@@ -46,15 +46,15 @@
   void run(double length) {
     MonotonicTime end = now_ + seconds(length);
     for (; now_ < end; now_ = now_ + milliseconds(50))
-      for (int index = 0; index <= kFront; ++index) step(index, Ticked{});
+      for (int index = 0; index <= kFront; ++index) step(index, Tick{});
   }
 
   /// Sends an operator's request to one machine and waits for the answer.
-  AnswerWeb ask(int index, const std::string& method, const std::string& path,
-                const std::string& body = "") {
+  AnswerHttp ask(int index, const std::string& method, const std::string& path,
+                 const std::string& body = "") {
     TicketId ticket = send(index, method, path, body);
     for (int turn = 0; turn < 200 && !answers_.contains(ticket); ++turn) run(0.05);
-    return answers_.contains(ticket) ? answers_.at(ticket) : AnswerWeb{ticket, 0, {}, ""};
+    return answers_.contains(ticket) ? answers_.at(ticket) : AnswerHttp{ticket, 0, {}, ""};
   }
   TicketId send(int index, const std::string& method, const std::string& path,
                 const std::string& body = "") {
@@ -63,25 +63,26 @@
     step(index, OperatorRequest{ticket, method, path, body});
     return ticket;
   }
-  const AnswerWeb* answerTo(TicketId ticket) const {
+  const AnswerHttp* answerTo(TicketId ticket) const {
     auto found = answers_.find(ticket);
     return found == answers_.end() ? nullptr : &found->second;
   }
 
   std::optional<int> primary() const {
     for (int index = 0; index < kCores; ++index)
-      if (!dead_.contains(index) &&
-          static_cast<CoreNode&>(*nodes_[static_cast<std::size_t>(index)]).leadership().names(now_))
+      if (!dead_.contains(index) && static_cast<CoreNode&>(*nodes_[static_cast<std::size_t>(index)])
+                                        .leadership()
+                                        .mayShowState(now_))
         return index;
     return std::nullopt;
   }
   void kill(int index) { dead_.insert(index); }
   /// From now on writes on this machine's disk don't complete until they are released.
-  void holdWrites(int index) { holding_.insert(index); }
+  void holdWrites(int index) { holdingWrites_.insert(index); }
   /// Completes the held writes; later ones are held again unless `andLater`.
   void releaseWrites(int index, bool andLater) {
-    if (andLater) holding_.erase(index);
-    auto held = std::exchange(held_[index], {});
+    if (andLater) holdingWrites_.erase(index);
+    auto held = std::exchange(heldWrites_[index], {});
     for (const auto& written : held) step(index, written);
   }
 
@@ -94,24 +95,25 @@
       if (dead_.contains(to)) continue;
       Node& node = *nodes_[static_cast<std::size_t>(to)];
       node.step(next, now_);
-      for (auto& command : node.outbox().take()) carryOut(to, command);
+      for (auto& command : node.outbox().takeCommands()) runCommand(to, command);
     }
   }
-  void carryOut(int from, Command& command) {
+  void runCommand(int from, Command& command) {
     if (auto* send = std::get_if<Send>(&command)) {
       for (int index = 0; index <= kFront; ++index)
         if (machineAddress(index) == send->to)
-          queue_.push_back({index, Arrived{machineAddress(from), std::move(send->message)}});
+          queue_.push_back(
+              {index, MessageReceived{machineAddress(from), std::move(send->message)}});
     } else if (auto* broadcast = std::get_if<Broadcast>(&command)) {
       for (const auto& to : broadcast->to) {
         Command one = Send{to, *broadcast->message};
-        carryOut(from, one);
+        runCommand(from, one);
       }
     } else if (auto* write = std::get_if<WriteFile>(&command)) {
       FileWritten written{write->ticket, true};
-      if (holding_.contains(from)) held_[from].push_back(written);
+      if (holdingWrites_.contains(from)) heldWrites_[from].push_back(written);
       else queue_.push_back({from, written});
-    } else if (auto* web = std::get_if<AnswerWeb>(&command)) {
+    } else if (auto* web = std::get_if<AnswerHttp>(&command)) {
       answers_[web->ticket] = *web;
     }
   }
@@ -119,15 +121,15 @@
   Options options_;
   MonotonicTime now_ = at(100);
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::set<int> dead_, holding_;
-  std::map<int, std::vector<FileWritten>> held_;
+  std::set<int> dead_, holdingWrites_;
+  std::map<int, std::vector<FileWritten>> heldWrites_;
   std::deque<std::pair<int, Event>> queue_;
-  std::map<TicketId, AnswerWeb> answers_;
+  std::map<TicketId, AnswerHttp> answers_;
   std::uint64_t lastTicket_ = 0;
 };
 
 /// A change to a configuration that contains only its version and the id of the change.
-inline std::string change(const char* id, int base, int version) {
+inline std::string replaceChangeBody(const char* id, int base, int version) {
   return Json{{"changeId", id},
               {"kind", "replace"},
               {"basedOnVersion", base},
@@ -135,6 +137,6 @@
       .dump();
 }
 
-inline Json bodyOf(const AnswerWeb& web) { return Json::parse(web.body, nullptr, false); }
+inline Json bodyOf(const AnswerHttp& web) { return Json::parse(web.body, nullptr, false); }
 
 }  // namespace peppergate
--- a/tests/config_state_test.cc
+++ b/tests/config_state_test.cc
@@ -47,25 +47,25 @@
 }  // namespace
 
 TEST_GROUP(FleetChanges) {
-  ControlState state = ControlState::founded({1});
+  ControlState state = ControlState::initial({1});
   Options options;
 
   ChangeReply apply(const Json& change, const std::string& id) {
     return state.apply(change.dump(), id, {2}, options);
   }
-  void taken(const Json& change, const std::string& id) {
+  void expectApplied(const Json& change, const std::string& id) {
     ChangeReply answer = apply(change, id);
     STRCMP_EQUAL("", (answer.field + answer.detail).c_str());
     CHECK(answer.outcome == ChangeOutcome::kDone);
   }
-  void refused(const Json& change, const char* field) {
+  void expectInvalid(const Json& change, const char* field) {
     SectionVersion before = state.version();
     ChangeReply answer = apply(change, "refused");
     CHECK(answer.outcome == ChangeOutcome::kInvalid);
     STRCMP_EQUAL(field, answer.field.c_str());
     CHECK(state.version() == before);
   }
-  Json stored() { return Json::parse(state.setupText()).at("fleet"); }
+  Json storedConfig() { return Json::parse(state.setupText()).at("fleet"); }
 };
 
 TEST(FleetChanges, ConfigurationIsStoredWithoutLossOfValues) {
@@ -73,45 +73,46 @@
                      R"("\u0001\u20ac\"\\",{},[],null,false],"routes":[]})";
   std::string change = R"({"kind":"replace","basedOnVersion":0,"config":)" + sent + "}";
   CHECK(state.apply(change, "c", {2}, options).outcome == ChangeOutcome::kDone);
-  STRCMP_EQUAL(Json::parse(sent).dump().c_str(), stored().dump().c_str());
-  auto parsed = ControlState::parse(state.text());
+  STRCMP_EQUAL(Json::parse(sent).dump().c_str(), storedConfig().dump().c_str());
+  auto parsed = ControlState::parse(state.serialize());
   CHECK(parsed.ok());
-  STRCMP_EQUAL(state.text().c_str(), parsed->text().c_str());
+  STRCMP_EQUAL(state.serialize().c_str(), parsed->serialize().c_str());
   STRCMP_EQUAL(state.setupText().c_str(), parsed->setupText().c_str());
   LONGS_EQUAL(3, parsed->configVersion().value);
 }
 
 TEST(FleetChanges, SetupSectionContainsTheConfiguration) {
-  taken(replaceWith(0, configOf(5)), "c");
+  expectApplied(replaceWith(0, configOf(5)), "c");
   Setup setup = *readSetup(state.setupText());
-  LONGS_EQUAL(5, setup.fleet.version.value);
-  CHECK(setup.fleet.route("a.example", "/x") != nullptr);
+  LONGS_EQUAL(5, setup.fleetConfig.version.value);
+  CHECK(setup.fleetConfig.route("a.example", "/x") != nullptr);
   LONGS_EQUAL(1, setup.rungs.size());
-  CHECK(readSetup(ControlState::founded({1}).setupText())->fleet.version.value == 0);
+  CHECK(readSetup(ControlState::initial({1}).setupText())->fleetConfig.version.value == 0);
 }
 
 TEST(FleetChanges, InvalidChangesNameTheField) {
-  taken(replaceWith(0, configOf(5)), "c5");
-  refused(replaceWith(5, configOf(4)), "[version]");
+  expectApplied(replaceWith(0, configOf(5)), "c5");
+  expectInvalid(replaceWith(5, configOf(4)), "[version]");
   Json same = configOf(5);
   same["routes"] = Json::array();
-  refused(replaceWith(5, same), "[version]");
+  expectInvalid(replaceWith(5, same), "[version]");
   Json wrong = configOf(8);
   wrong["routes"][0]["service"] = "nobody";
-  refused(replaceWith(5, wrong), "[routes][0][service]");
-  refused({{"kind", "replace"}, {"basedOnVersion", 5}}, "[config]");
-  refused({{"kind", "replace"}, {"config", configOf(8)}}, "[basedOnVersion]");
-  refused({{"kind", "replace"}, {"basedOnVersion", "5"}, {"config", configOf(8)}},
-          "<root>[basedOnVersion]");
-  refused({{"kind", "replace"}, {"basedOnVersion", 5}, {"config", Json::array()}},
-          "<root>[config]");
-  refused({{"kind", "amend"}, {"basedOnVersion", 5}}, "[amendment]");
-  refused(amendWith(5, R"({"version":5})"), "[version]");
-  refused(amendWith(5, R"({"version":6,"remove":{"services":["s"]}})"), "[routes][0][service]");
-  refused(amendWith(5, R"({"version":6,"upsert":{"routes":[{"name":"q","host":"a.example",
+  expectInvalid(replaceWith(5, wrong), "[routes][0][service]");
+  expectInvalid({{"kind", "replace"}, {"basedOnVersion", 5}}, "[config]");
+  expectInvalid({{"kind", "replace"}, {"config", configOf(8)}}, "[basedOnVersion]");
+  expectInvalid({{"kind", "replace"}, {"basedOnVersion", "5"}, {"config", configOf(8)}},
+                "<root>[basedOnVersion]");
+  expectInvalid({{"kind", "replace"}, {"basedOnVersion", 5}, {"config", Json::array()}},
+                "<root>[config]");
+  expectInvalid({{"kind", "amend"}, {"basedOnVersion", 5}}, "[amendment]");
+  expectInvalid(amendWith(5, R"({"version":5})"), "[version]");
+  expectInvalid(amendWith(5, R"({"version":6,"remove":{"services":["s"]}})"),
+                "[routes][0][service]");
+  expectInvalid(amendWith(5, R"({"version":6,"upsert":{"routes":[{"name":"q","host":"a.example",
       "prefix":"/","timeoutMs":1,"service":"s"}]}})"),
-          "[routes][1][prefix]");
-  taken(replaceWith(5, configOf(8)), "c8");
+                "[routes][1][prefix]");
+  expectApplied(replaceWith(5, configOf(8)), "c8");
   CHECK(state
             .apply(R"({"kind":"replace","basedOnVersion":8,"config":{"version":9)", "cut", {2},
                    options)
@@ -119,31 +120,31 @@
 }
 
 TEST(FleetChanges, OfTwoChangesOnOneBaseTheSecondIsStale) {
-  taken(replaceWith(0, configOf(5)), "c5");
+  expectApplied(replaceWith(0, configOf(5)), "c5");
   Json first = amendWith(5, R"({"version":7,"remove":{"tenants":["red"]}})");
   Json second = amendWith(5, R"({"version":9,"remove":{"services":["t"]}})");
-  taken(first, "first");
-  ChangeReply late = apply(second, "second");
-  CHECK(late.outcome == ChangeOutcome::kStale);
-  STRCMP_EQUAL("[basedOnVersion]", late.field.c_str());
-  LONGS_EQUAL(7, late.newest);
-  LONGS_EQUAL(2, stored()["services"].size());
+  expectApplied(first, "first");
+  ChangeReply reply = apply(second, "second");
+  CHECK(reply.outcome == ChangeOutcome::kStale);
+  STRCMP_EQUAL("[basedOnVersion]", reply.field.c_str());
+  LONGS_EQUAL(7, reply.currentConfigVersion);
+  LONGS_EQUAL(2, storedConfig()["services"].size());
   CHECK(apply(replaceWith(0, configOf(9)), "third").outcome == ChangeOutcome::kStale);
 }
 
 TEST(FleetChanges, RepeatedChangeIsAcknowledgedAgain) {
   Json first = replaceWith(0, configOf(5));
-  taken(first, "c5");
+  expectApplied(first, "c5");
   SectionVersion version = state.version();
   CHECK(apply(first, "c5").version == version);
-  taken(amendWith(5, R"({"version":6,"upsert":{"services":[{"name":"u"}]}})"), "c6");
-  auto parsed = ControlState::parse(state.text());
+  expectApplied(amendWith(5, R"({"version":6,"upsert":{"services":[{"name":"u"}]}})"), "c6");
+  auto parsed = ControlState::parse(state.serialize());
   ChangeReply again = parsed->apply(first.dump(), "c5", {3}, options);
   CHECK(again.outcome == ChangeOutcome::kDone && again.version == version);
   LONGS_EQUAL(6, parsed->configVersion().value);
   // The current configuration under another change id has no effect either. Only the record of the
   // id is new, so the state gets a new version and the sections keep theirs.
-  Json current = replaceWith(5, stored());
+  Json current = replaceWith(5, storedConfig());
   SectionVersions before = state.sections();
   std::string setup = state.setupText();
   ChangeReply same = apply(current, "other");
@@ -154,21 +155,21 @@
 }
 
 TEST(FleetChanges, AmendmentMayBeTheFirstChange) {
-  taken(amendWith(0, R"({"version":2,"upsert":{"services":[{"name":"s"}]}})"), "c");
-  CHECK(stored() == Json::parse(R"({"version":2,"services":[{"name":"s"}]})"));
+  expectApplied(amendWith(0, R"({"version":2,"upsert":{"services":[{"name":"s"}]}})"), "c");
+  CHECK(storedConfig() == Json::parse(R"({"version":2,"services":[{"name":"s"}]})"));
 }
 
 TEST(FleetChanges, OtherChangesKeepTheConfiguration) {
-  taken(replaceWith(0, configOf(5)), "c5");
-  Json config = stored();
+  expectApplied(replaceWith(0, configOf(5)), "c5");
+  Json config = storedConfig();
   auto base = [&] { return versionText(state.sections().setup); };
-  taken(Json::parse(firstSetupBody("hutline", base())), "apply");
+  expectApplied(Json::parse(initialSetupChange("hutline", base())), "apply");
   std::string applied = base();
-  CHECK(stored() == config);
-  taken({{"kind", "remove"}, {"basedOn", base()}, {"tenant", "rescue"}}, "remove");
-  taken(replaceWith(5, configOf(6)), "c6");
-  taken({{"kind", "revert"}, {"basedOn", base()}, {"to", applied}}, "revert");
-  CHECK(stored() == configOf(6));
+  CHECK(storedConfig() == config);
+  expectApplied({{"kind", "remove"}, {"basedOn", base()}, {"tenant", "rescue"}}, "remove");
+  expectApplied(replaceWith(5, configOf(6)), "c6");
+  expectApplied({{"kind", "revert"}, {"basedOn", base()}, {"to", applied}}, "revert");
+  CHECK(storedConfig() == configOf(6));
   CHECK(readSetup(state.setupText())->tenants.contains({"rescue"}));
 }
 
@@ -176,31 +177,32 @@
   Json change = replaceWith(0, configOf(5));
   change["dryRun"] = true;
   ChangeReply answer = apply(change, "dry");
-  CHECK(answer.outcome == ChangeOutcome::kWould);
+  CHECK(answer.outcome == ChangeOutcome::kDryRun);
   STRCMP_EQUAL(R"({"fleet":{"routes":[0,1],"services":[0,2],"tenants":[0,1],"version":[0,5]}})",
                answer.detail.c_str());
   LONGS_EQUAL(0, state.configVersion().value);
 }
 
 TEST(FleetChanges, ModelVersionsOnlyIncrease) {
-  auto named = [&](int version, const char* id) {
-    taken({{"kind", "model-version"}, {"model", "m"}, {"version", version}}, id);
+  auto setModelVersion = [&](int version, const char* id) {
+    expectApplied({{"kind", "model-version"}, {"model", "m"}, {"version", version}}, id);
   };
   auto current = [&] { return readWeights(state.weightsText())->models; };
   SectionVersion before = state.version();
-  named(1, "one");  // the version of a model without an entry
+  setModelVersion(1, "one");  // the version of a model without an entry
   CHECK(state.version() == before && current().empty());
-  named(3, "three");
+  setModelVersion(3, "three");
   LONGS_EQUAL(3, current().at({"m"}).value);
   SectionVersion third = state.sections().weights;
-  named(2, "two");
-  named(3, "three-again");
+  setModelVersion(2, "two");
+  setModelVersion(3, "three-again");
   CHECK(state.sections().weights == third);
-  taken({{"kind", "weights"}, {"basedOn", versionText(third)}, {"label", "spring"}}, "label");
+  expectApplied({{"kind", "weights"}, {"basedOn", versionText(third)}, {"label", "spring"}},
+                "label");
   LONGS_EQUAL(3, current().at({"m"}).value);
-  refused({{"kind", "model-version"}, {"version", 4}}, "[model]");
-  refused({{"kind", "model-version"}, {"model", "m"}}, "[version]");
-  refused({{"kind", "model-version"}, {"model", "m"}, {"version", 0}}, "<root>[version]");
+  expectInvalid({{"kind", "model-version"}, {"version", 4}}, "[model]");
+  expectInvalid({{"kind", "model-version"}, {"model", "m"}}, "[version]");
+  expectInvalid({{"kind", "model-version"}, {"model", "m"}, {"version", 0}}, "<root>[version]");
   CHECK(readWeights(R"({"version":1,"label":"first"})")
             ->models.empty());  // section of an earlier release
 }
@@ -212,39 +214,39 @@
     ChangeReply answer = state.apply(change, "deep", {2}, options);
     CHECK(answer.outcome == ChangeOutcome::kInvalid);
     STRCMP_EQUAL("<root>", answer.field.c_str());
-    CHECK_FALSE(readHead(change).readable);
+    CHECK_FALSE(readTopLevelStrings(change).valid);
   }
   std::string huge(static_cast<std::size_t>(options.largestSetup) + 1, ' ');
   CHECK(state.apply(huge, "huge", {2}, options).outcome == ChangeOutcome::kTooLarge);
   Json brackets = configOf(1);
   brackets["text"] = std::string(500, '[') + "\"\\" + std::string(500, '{');
-  taken(replaceWith(0, brackets), "brackets");
+  expectApplied(replaceWith(0, brackets), "brackets");
 }
 
 TEST(FleetChanges, LargeConfigurationIsSerializedOncePerChange) {
   Json first = largeConfig(1, 1000, 4400);
   std::size_t size = first.dump().size();
   CHECK(size > 4 << 20);
-  taken(replaceWith(0, first), "large");
-  CHECK(state.bytesWritten() < size + 4000);
-  std::size_t before = state.bytesWritten();
-  taken(amendWith(1, R"({"version":2,"remove":{"routes":["r7"]}})"), "amend");
-  CHECK(state.bytesWritten() - before < size + 4000);
+  expectApplied(replaceWith(0, first), "large");
+  CHECK(state.serializedBytes() < size + 4000);
+  std::size_t before = state.serializedBytes();
+  expectApplied(amendWith(1, R"({"version":2,"remove":{"routes":["r7"]}})"), "amend");
+  CHECK(state.serializedBytes() - before < size + 4000);
   // Changes that don't touch the configuration neither serialize nor copy it.
-  before = state.bytesWritten();
+  before = state.serializedBytes();
   const char* setup = state.setupText().data();
-  taken({{"kind", "model-version"}, {"model", "m"}, {"version", 2}}, "model");
+  expectApplied({{"kind", "model-version"}, {"model", "m"}, {"version", 2}}, "model");
   ControlState copy = state;
-  CHECK(state.text().size() > size - 20000);
-  CHECK(state.bytesWritten() - before < 200);
+  CHECK(state.serialize().size() > size - 20000);
+  CHECK(state.serializedBytes() - before < 200);
   POINTERS_EQUAL(setup, state.setupText().data());
   POINTERS_EQUAL(setup, copy.setupText().data());
 }
 
 TEST(FleetChanges, OldestRememberedChangesAreEvicted) {
   for (int number = 0; number < 1500; ++number)
-    taken({{"kind", "model-version"}, {"model", "m"}, {"version", number + 2}},
-          "id" + std::to_string(number));
+    expectApplied({{"kind", "model-version"}, {"model", "m"}, {"version", number + 2}},
+                  "id" + std::to_string(number));
   SectionVersion version = state.version();
   CHECK(apply({}, "id1499").outcome == ChangeOutcome::kDone);
   CHECK(apply({}, "id500").outcome == ChangeOutcome::kDone);
@@ -252,6 +254,6 @@
   CHECK(apply({}, "id448").outcome == ChangeOutcome::kDone);
   CHECK(apply({}, "id447").outcome == ChangeOutcome::kInvalid);
   CHECK(state.version() == version);
-  CHECK(ControlState::parse(state.text())->apply("", "id500", {2}, options).outcome ==
+  CHECK(ControlState::parse(state.serialize())->apply("", "id500", {2}, options).outcome ==
         ChangeOutcome::kDone);
 }
--- a/tests/disk_power_test.cc
+++ b/tests/disk_power_test.cc
@@ -26,22 +26,22 @@
   SimDisk disk;
   std::map<int, std::string> open;  // names of open files; empty for the directory
   int lastDescriptor = 2;
-  long callsLeft = kNoCall;  // until a power loss or process exit; later calls fail
-  long failing = kNoCall;    // the number of the call that fails, counted from 1
+  long remainingCalls = kNoCall;  // until a power loss or process exit; later calls fail
+  long failingCall = kNoCall;     // the number of the call that fails, counted from 1
   long calls = 0;
   int error = EIO;
-  std::size_t most = SIZE_MAX;  // maximum bytes that one write accepts
+  std::size_t maxWriteBytes = SIZE_MAX;  // maximum bytes that one write accepts
   std::vector<std::string> log;
 
   /// Returns whether the next call succeeds; sets errno if it doesn't.
-  bool step(const std::string& call) {
+  bool beginCall(const std::string& call) {
     log.push_back(call);
     ++calls;
-    if (callsLeft == 0 || calls == failing) {
-      errno = callsLeft == 0 ? EIO : error;
+    if (remainingCalls == 0 || calls == failingCall) {
+      errno = remainingCalls == 0 ? EIO : error;
       return false;
     }
-    if (callsLeft > 0) --callsLeft;
+    if (remainingCalls > 0) --remainingCalls;
     return true;
   }
 };
@@ -50,7 +50,7 @@
 std::string nameOf(const char* path) { return std::filesystem::path(path).filename().string(); }
 
 int openFile(const char* path, int flags, unsigned) {
-  if (!machine->step("open")) return -1;
+  if (!machine->beginCall("open")) return -1;
   bool folder = (flags & O_DIRECTORY) != 0;
   if ((flags & O_TRUNC) != 0) machine->disk.truncate(nameOf(path));
   machine->open[++machine->lastDescriptor] = folder ? "" : nameOf(path);
@@ -58,15 +58,15 @@
 }
 
 long writeSome(int descriptor, const void* data, std::size_t size) {
-  if (!machine->step("write")) return -1;
-  std::size_t taken = std::min(size, machine->most);
+  if (!machine->beginCall("write")) return -1;
+  std::size_t taken = std::min(size, machine->maxWriteBytes);
   machine->disk.append(machine->open.at(descriptor),
                        std::string_view(static_cast<const char*>(data), taken));
   return static_cast<long>(taken);
 }
 
 int syncFile(int descriptor) {
-  if (!machine->step("sync")) return -1;
+  if (!machine->beginCall("sync")) return -1;
   const std::string& name = machine->open.at(descriptor);
   if (name.empty()) machine->disk.syncFolder();
   else machine->disk.sync(name);
@@ -75,16 +75,16 @@
 
 int closeFile(int descriptor) {
   machine->open.erase(descriptor);
-  return machine->step("close") ? 0 : -1;
+  return machine->beginCall("close") ? 0 : -1;
 }
 
 int renameFile(const char* from, const char* to) {
-  if (!machine->step("rename")) return -1;
+  if (!machine->beginCall("rename")) return -1;
   return machine->disk.rename(nameOf(from), nameOf(to)) ? 0 : -1;
 }
 
 int removeFile(const char* path) {
-  if (!machine->step("remove")) return -1;
+  if (!machine->beginCall("remove")) return -1;
   return machine->disk.remove(nameOf(path)) ? 0 : -1;
 }
 
@@ -110,7 +110,7 @@
 std::size_t writeAll(const std::string& folder) {
   std::vector<std::promise<bool>> answers(kWrites.size());
   std::size_t acknowledged = 0;
-  DiskTask disk(
+  DiskWriter disk(
       folder,
       [&](const FileWritten& written) { answers[written.ticket.value].set_value(written.synced); },
       kFake);
@@ -121,13 +121,13 @@
     acknowledged = index + 1;
     // Not after the last write: nothing would wait for the removal, and the number of calls would
     // vary.
-    if (acknowledged < kWrites.size()) disk.dropOlder({"voter", 1});
+    if (acknowledged < kWrites.size()) disk.removeOlderFiles({"voter", 1});
   }
   return acknowledged;
 }
 
 Files loadAll(const std::string& folder) {
-  auto loaded = DiskTask::load(folder, kFake);
+  auto loaded = DiskWriter::load(folder, kFake);
   CHECK_TEXT(loaded.ok(), std::string(loaded.status().message()).c_str());
   return loaded.ok() ? *loaded : Files{};
 }
@@ -160,30 +160,30 @@
     machine = nullptr;
     std::filesystem::remove_all(folder);
   }
-  void fresh() { fake = FakeMachine{}; }
+  void resetMachine() { fake = FakeMachine{}; }
   /// The number of calls of all writes when nothing fails.
-  long allCalls() {
-    fresh();
+  long countAllCalls() {
+    resetMachine();
     CHECK_EQUAL(kWrites.size(), writeAll(folder));
     return fake.calls;
   }
-  void revive() { fake.callsLeft = fake.failing = kNoCall; }
+  void clearFaults() { fake.remainingCalls = fake.failingCall = kNoCall; }
 };
 
 TEST(DiskPower, AcknowledgedWritesSurvivePowerLossAfterAnyCall) {
-  long calls = allCalls();
+  long calls = countAllCalls();
   CHECK(calls >= 24);
   std::set<std::size_t> seen;  // numbers of acknowledged writes
   for (long last = 0; last <= calls; ++last) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      fresh();
-      fake.most = seed % 2 == 0 ? 5 : SIZE_MAX;  // short writes every other time
-      fake.callsLeft = last;
+      resetMachine();
+      fake.maxWriteBytes = seed % 2 == 0 ? 5 : SIZE_MAX;  // short writes every other time
+      fake.remainingCalls = last;
       std::size_t acknowledged = writeAll(folder);
       seen.insert(acknowledged);
       Random random(seed);
       fake.disk.losePower(random);
-      revive();
+      clearFaults();
       checkNewest(loadAll(folder), acknowledged,
                   "call " + std::to_string(last) + " seed " + std::to_string(seed));
     }
@@ -194,13 +194,13 @@
 TEST(DiskPower, PowerLossDoesNotUndoWhatTheNextProcessRead) {
   // A process exits after any call. The next one acts on what it read, so a power loss after that
   // must not undo it.
-  long calls = allCalls();
+  long calls = countAllCalls();
   for (long last = 0; last <= calls; ++last) {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      fresh();
-      fake.callsLeft = last;
+      resetMachine();
+      fake.remainingCalls = last;
       std::size_t acknowledged = writeAll(folder);
-      revive();
+      clearFaults();
       Files read = loadAll(folder);
       std::string where = "call " + std::to_string(last) + " seed " + std::to_string(seed);
       checkNewest(read, acknowledged, where);
@@ -212,35 +212,35 @@
 }
 
 TEST(DiskPower, NoWriteIsAcknowledgedWithoutItsFileIfAnyCallFails) {
-  long calls = allCalls();
+  long calls = countAllCalls();
   for (int error : {EIO, ENOSPC}) {
     for (long failing = 1; failing <= calls; ++failing) {
-      fresh();
-      fake.failing = failing;
+      resetMachine();
+      fake.failingCall = failing;
       fake.error = error;
       std::size_t acknowledged = writeAll(folder);
       std::string where = "call " + std::to_string(failing) + " " +
                           fake.log.at(static_cast<std::size_t>(failing - 1));
       Random random(static_cast<std::uint64_t>(failing));
       fake.disk.losePower(random);
-      revive();
+      clearFaults();
       checkNewest(loadAll(folder), acknowledged, where);
     }
   }
 }
 
 TEST(DiskPower, FullDiskCanBeReadAtStart) {
-  fresh();
+  resetMachine();
   CHECK_EQUAL(kWrites.size(), writeAll(folder));
   fake.error = ENOSPC;
-  fake.failing = fake.calls + 2;  // the loader's test write
+  fake.failingCall = fake.calls + 2;  // the loader's test write
   Files read = loadAll(folder);
   checkNewest(read, kWrites.size(), "full");
   CHECK_EQUAL(2, read.size());
 }
 
 TEST(DiskPower, LoadFailsIfAnySyncFails) {
-  fresh();
+  resetMachine();
   CHECK_EQUAL(kWrites.size(), writeAll(folder));
   long before = fake.calls;
   loadAll(folder);
@@ -249,8 +249,8 @@
     auto index = static_cast<std::size_t>(before + call - 1);
     if (fake.log[index] != "sync") continue;
     FakeMachine whole = fake;
-    fake.failing = fake.calls + call;
-    CHECK_TEXT(!DiskTask::load(folder, kFake).ok(), ("sync at " + std::to_string(call)).c_str());
+    fake.failingCall = fake.calls + call;
+    CHECK_TEXT(!DiskWriter::load(folder, kFake).ok(), ("sync at " + std::to_string(call)).c_str());
     fake = whole;
   }
 }
--- a/tests/engines_lister_test.cc
+++ b/tests/engines_lister_test.cc
@@ -31,11 +31,11 @@
         lister(options, membership, random) {}
   Random random;
   Membership membership;
-  EngineBook book;
-  Lister lister;
+  EngineRegistry book;
+  EngineDiscovery lister;
   Outbox outbox;
-  ListVersion taken;
-  bool inCharge = false, cutOff = false, cutFromPlatform = false;
+  ListVersion appliedVersion;
+  bool isPoller = false, partitioned = false, platformUnreachable = false;
   Epoch term{1};
 };
 
@@ -45,7 +45,7 @@
       MemberRecord record;
       record.member = {index + 1};
       record.address = {"d" + std::to_string(index)};
-      record.role = index < cores ? Role::kCore : Role::kFront;
+      record.role = index < cores ? Role::kCore : Role::kRouter;
       records.push_back(record);
       daemons.push_back(std::make_unique<Daemon>(options, record, index + 1));
     }
@@ -53,26 +53,26 @@
       for (const auto& record : records) {
         Shuffle shuffle;
         shuffle.sender = record;
-        daemon->membership.hear(shuffle, now, daemon->outbox);
-        daemon->outbox.take();
+        daemon->membership.handle(shuffle, now, daemon->outbox);
+        daemon->outbox.takeCommands();
       }
     for (int index = 0; index < 6; ++index)
       platform.push_back(engineNamed("e" + std::to_string(index), "a" + std::to_string(index)));
-    lead(0, 1);
+    setLeader(0, 1);
   }
-  void lead(std::size_t core, std::uint64_t term) {
-    for (auto& daemon : daemons) daemon->inCharge = false;
-    daemons[core]->inCharge = true;
+  void setLeader(std::size_t core, std::uint64_t term) {
+    for (auto& daemon : daemons) daemon->isPoller = false;
+    daemons[core]->isPoller = true;
     daemons[core]->term = {term};
   }
   void call(std::size_t caller, const ListEngines& command) {
     ++calls;
-    recent.push_back(now);
-    std::erase_if(recent, [&](MonotonicTime time) { return now - time > seconds(1); });
-    mostInASecond = std::max(mostInASecond, recent.size());
+    recentCalls.push_back(now);
+    std::erase_if(recentCalls, [&](MonotonicTime time) { return now - time > seconds(1); });
+    maxCallsInASecond = std::max(maxCallsInASecond, recentCalls.size());
     EnginesListed page{command.ticket, 200, {}, {}};
-    if (daemons[caller]->cutFromPlatform || platformDown) page.status = 0;
-    else if (static_cast<double>(recent.size()) > options.listRate) page.status = 429;
+    if (daemons[caller]->platformUnreachable || platformDown) page.status = 0;
+    else if (static_cast<double>(recentCalls.size()) > options.listRate) page.status = 429;
     Duration wait = page.status == 0 ? command.timeout : milliseconds(10);
     if (page.status == 200) {
       std::size_t from = command.page.empty() ? 0 : std::stoul(command.page);
@@ -81,33 +81,33 @@
                           platform.begin() + static_cast<std::ptrdiff_t>(to));
       if (to < platform.size()) page.nextPage = std::to_string(to);
     }
-    if (page.status == 429) ++tooOften;
-    later.push_back({now + wait, [this, caller, page] {
-                       daemons[caller]->lister.listed(page, now, daemons[caller]->outbox);
-                     }});
+    if (page.status == 429) ++rateLimited;
+    scheduled.push_back({now + wait, [this, caller, page] {
+                           daemons[caller]->lister.handlePage(page, now, daemons[caller]->outbox);
+                         }});
   }
   void send(std::size_t from, const Send& send) {
     std::size_t to = std::stoul(send.to.value.substr(1));
-    if (daemons[from]->cutOff || daemons[to]->cutOff) return;
+    if (daemons[from]->partitioned || daemons[to]->partitioned) return;
     if (random.fraction() < loss) return;
     Address sender = records[from].address;
     Duration delay = milliseconds(1 + static_cast<std::int64_t>(random.below(20)));
     if (auto* news = std::get_if<DiscoveredEnginesUpdate>(&send.message)) {
       ++stateUpdatesSent;
       bytes += news->list.size() + 30;
-      later.push_back({now + delay, [this, to, sender, news = *news] {
-                         daemons[to]->lister.hear(sender, news, now, daemons[to]->outbox);
-                       }});
+      scheduled.push_back({now + delay, [this, to, sender, news = *news] {
+                             daemons[to]->lister.handle(sender, news, now, daemons[to]->outbox);
+                           }});
     }
     if (auto* ask = std::get_if<DiscoveredEnginesRequest>(&send.message))
-      later.push_back({now + delay, [this, to, sender, ask = *ask] {
-                         daemons[to]->lister.hear(sender, ask, now, daemons[to]->outbox);
-                       }});
+      scheduled.push_back({now + delay, [this, to, sender, ask = *ask] {
+                             daemons[to]->lister.handle(sender, ask, now, daemons[to]->outbox);
+                           }});
   }
   void run(double until) {
     while (now < at(until)) {
       std::vector<std::function<void()>> due;
-      std::erase_if(later, [&](const auto& entry) {
+      std::erase_if(scheduled, [&](const auto& entry) {
         if (entry.first > now) return false;
         due.push_back(entry.second);
         return true;
@@ -115,14 +115,14 @@
       for (const auto& event : due) event();
       for (std::size_t index = 0; index < daemons.size(); ++index) {
         Daemon& daemon = *daemons[index];
-        daemon.lister.tick(daemon.inCharge, daemon.term, now, daemon.outbox);
+        daemon.lister.tick(daemon.isPoller, daemon.term, now, daemon.outbox);
         daemon.book.tick(now);
-        if (daemon.lister.version() != daemon.taken) {
-          daemon.taken = daemon.lister.version();
-          daemon.book.take(daemon.lister.engines(), daemon.taken, now);
-          daemon.book.loading(daemon.lister.loadingNow(), now);
+        if (daemon.lister.version() != daemon.appliedVersion) {
+          daemon.appliedVersion = daemon.lister.version();
+          daemon.book.update(daemon.lister.engines(), daemon.appliedVersion, now);
+          daemon.book.setLoading(daemon.lister.loadingEngines(), now);
         }
-        for (const auto& command : daemon.outbox.take()) {
+        for (const auto& command : daemon.outbox.takeCommands()) {
           if (auto* list = std::get_if<ListEngines>(&command)) call(index, *list);
           if (auto* one = std::get_if<Send>(&command)) send(index, *one);
           if (auto* all = std::get_if<Broadcast>(&command))
@@ -133,19 +133,19 @@
     }
   }
   /// Whether any router would still send requests to an engine.
-  bool sentTo(const std::string& id) const {
+  bool anyRouterUses(const std::string& id) const {
     return std::ranges::any_of(daemons, [&](const auto& daemon) {
-      if (daemon->membership.self().role != Role::kFront) return false;
+      if (daemon->membership.self().role != Role::kRouter) return false;
       const EngineState* engine = daemon->book.find({id});
       return engine && daemon->book.usable(*engine, now);
     });
   }
-  bool allHave(std::size_t count) const {
+  bool allListCount(std::size_t count) const {
     return std::ranges::all_of(
         daemons, [&](const auto& daemon) { return daemon->lister.engines().size() == count; });
   }
 
-  static Options fast() {
+  static Options withHighListRate() {
     Options options;
     options.listRate = 47;
     return options;
@@ -155,10 +155,10 @@
   std::vector<MemberRecord> records;
   std::vector<std::unique_ptr<Daemon>> daemons;
   std::vector<Engine> platform;
-  std::vector<std::pair<MonotonicTime, std::function<void()>>> later;
-  std::vector<MonotonicTime> recent;
+  std::vector<std::pair<MonotonicTime, std::function<void()>>> scheduled;
+  std::vector<MonotonicTime> recentCalls;
   MonotonicTime now = at(0);
-  std::size_t calls = 0, mostInASecond = 0, tooOften = 0, stateUpdatesSent = 0, bytes = 0,
+  std::size_t calls = 0, maxCallsInASecond = 0, rateLimited = 0, stateUpdatesSent = 0, bytes = 0,
               pageSize = 4;
   double loss = 0;
   bool platformDown = false;
@@ -177,23 +177,23 @@
   constexpr std::array<Row, 7> kRows{{
       {"no fault", [](Fleet&) {}, 0.7},
       {"a fifth of the messages lost", [](Fleet& fleet) { fleet.loss = 0.2; }, 2.2},
-      {"polling node partitioned", [](Fleet& fleet) { fleet.daemons[0]->cutOff = true; }, 2.7},
-      {"no polling node", [](Fleet& fleet) { fleet.daemons[0]->inCharge = false; }, 2.7},
+      {"polling node partitioned", [](Fleet& fleet) { fleet.daemons[0]->partitioned = true; }, 2.7},
+      {"no polling node", [](Fleet& fleet) { fleet.daemons[0]->isPoller = false; }, 2.7},
       {"polling node without the platform",
-       [](Fleet& fleet) { fleet.daemons[0]->cutFromPlatform = true; }, 2.7},
-      {"one router partitioned", [](Fleet& fleet) { fleet.daemons[5]->cutOff = true; }, 2.7},
-      {"change of leader", [](Fleet& fleet) { fleet.lead(1, 2); }, 0.7},
+       [](Fleet& fleet) { fleet.daemons[0]->platformUnreachable = true; }, 2.7},
+      {"one router partitioned", [](Fleet& fleet) { fleet.daemons[5]->partitioned = true; }, 2.7},
+      {"change of leader", [](Fleet& fleet) { fleet.setLeader(1, 2); }, 0.7},
   }};
   for (const auto& row : kRows) {
     for (int shift = 0; shift < 10; ++shift) {  // any time between two polls
-      Fleet fleet(3, 9, Fleet::fast());
+      Fleet fleet(3, 9, Fleet::withHighListRate());
       fleet.run(4 + 0.05 * shift);
-      CHECK_TEXT(fleet.allHave(6), row.name);
-      CHECK(fleet.sentTo("e3"));
+      CHECK_TEXT(fleet.allListCount(6), row.name);
+      CHECK(fleet.anyRouterUses("e3"));
       row.trouble(fleet);
       fleet.platform[3].draining = true;
       double shown = 4 + 0.05 * shift;
-      while (fleet.sentTo("e3") && fleet.now < at(shown + 5))
+      while (fleet.anyRouterUses("e3") && fleet.now < at(shown + 5))
         fleet.run(inSeconds(fleet.now - at(0)) + 0.01);
       double took = inSeconds(fleet.now - at(shown));
       CHECK_TEXT(took < row.within, (std::string(row.name) + ": " + std::to_string(took)).c_str());
@@ -219,7 +219,7 @@
     Fleet fleet(3, row.fronts, options);
     fleet.pageSize = row.pageSize;
     fleet.run(6);
-    if (!row.lister) fleet.daemons[0]->inCharge = false;
+    if (!row.lister) fleet.daemons[0]->isPoller = false;
     fleet.run(12);  // after the first polls by the routers themselves
     std::size_t before = fleet.calls;
     fleet.run(32);
@@ -236,7 +236,7 @@
   fleet.run(2);
   fleet.options.listRate = 0;  // the platform rejects all calls
   std::size_t before = fleet.calls;
-  fleet.daemons[1]->cutOff = fleet.daemons[2]->cutOff = true;
+  fleet.daemons[1]->partitioned = fleet.daemons[2]->partitioned = true;
   fleet.run(22);
   CHECK(fleet.calls - before < 3 * 20 / 3);
   fleet.options.listRate = 47;
@@ -246,7 +246,7 @@
 }
 
 TEST(EnginesLister, AnUnchangedListCausesOnlyConfirmations) {
-  Fleet fleet(3, 9, Fleet::fast());
+  Fleet fleet(3, 9, Fleet::withHighListRate());
   fleet.run(5);
   ListVersion version = fleet.daemons[4]->lister.version();
   std::size_t bytes = fleet.bytes, news = fleet.stateUpdatesSent;
@@ -255,11 +255,11 @@
   CHECK(fleet.daemons[4]->lister.version() == version);
   CHECK(fleet.bytes - bytes == (fleet.stateUpdatesSent - news) * 30);  // none contains a list
   CHECK(fleet.stateUpdatesSent - news <= 11 * 2 * 10 + 22);
-  CHECK(fleet.now - fleet.daemons[4]->lister.seen() < seconds(0.7));
+  CHECK(fleet.now - fleet.daemons[4]->lister.confirmedAt() < seconds(0.7));
 }
 
 TEST(EnginesLister, AWarmUpCountdownIsNoChangeButItsEndIs) {
-  Fleet fleet(1, 1, Fleet::fast());
+  Fleet fleet(1, 1, Fleet::withHighListRate());
   fleet.platform[0].warmupLeft = seconds(3);
   fleet.run(2);
   ListVersion version = fleet.daemons[1]->lister.version();
@@ -272,153 +272,155 @@
 }
 
 TEST(EnginesLister, RoutersReturnToTheDistributedList) {
-  Fleet fleet(3, 4, Fleet::fast());
+  Fleet fleet(3, 4, Fleet::withHighListRate());
   fleet.run(4);
-  fleet.daemons[0]->inCharge = false;
+  fleet.daemons[0]->isPoller = false;
   fleet.platform.pop_back();
   fleet.run(8);
   Daemon& front = *fleet.daemons[5];
-  CHECK(front.lister.onItsOwn(fleet.now));
+  CHECK(front.lister.isSelfPolling(fleet.now));
   LONGS_EQUAL(5, front.lister.engines().size());
   LONGS_EQUAL(6, fleet.daemons[1]->lister.engines().size());  // own lists aren't distributed
-  fleet.lead(2, 2);
+  fleet.setLeader(2, 2);
   fleet.platform.pop_back();
   fleet.run(11);
-  CHECK(!front.lister.onItsOwn(fleet.now));
-  CHECK(fleet.allHave(4));
+  CHECK(!front.lister.isSelfPolling(fleet.now));
+  CHECK(fleet.allListCount(4));
   for (const auto& daemon : fleet.daemons)
     CHECK(daemon->lister.version() == fleet.daemons[2]->lister.version());
 }
 
 TEST(EnginesLister, TwoPollingNodesOfOneTermConverge) {
-  Fleet fleet(3, 4, Fleet::fast());
+  Fleet fleet(3, 4, Fleet::withHighListRate());
   fleet.run(3);
-  for (std::size_t index : {0U, 3U, 4U}) fleet.daemons[index]->cutOff = true;
-  fleet.daemons[1]->inCharge = true;  // read-only leader of the other partition, in the same view
+  for (std::size_t index : {0U, 3U, 4U}) fleet.daemons[index]->partitioned = true;
+  fleet.daemons[1]->isPoller = true;  // read-only leader of the other partition, in the same view
   fleet.platform[0].draining = true;
   fleet.run(5);
   fleet.platform[1].draining = true;
   fleet.run(7);
-  fleet.daemons[1]->inCharge = false;
-  for (auto& daemon : fleet.daemons) daemon->cutOff = false;
+  fleet.daemons[1]->isPoller = false;
+  for (auto& daemon : fleet.daemons) daemon->partitioned = false;
   fleet.run(10);
   for (const auto& daemon : fleet.daemons)
     CHECK(daemon->lister.version() == fleet.daemons[0]->lister.version());
-  CHECK(!fleet.sentTo("e0") && !fleet.sentTo("e1") && fleet.sentTo("e2"));
+  CHECK(!fleet.anyRouterUses("e0") && !fleet.anyRouterUses("e1") && fleet.anyRouterUses("e2"));
 }
 
 TEST(EnginesLister, UpdatesOfAnOlderTermAreIgnored) {
-  Fleet fleet(3, 3, Fleet::fast());
+  Fleet fleet(3, 3, Fleet::withHighListRate());
   fleet.run(3);
   Daemon& front = *fleet.daemons[4];
   ListVersion old = fleet.daemons[0]->lister.version();
-  std::string oldList = wholeText({fleet.daemons[0]->lister.engines(), {}});
-  fleet.lead(1, 2);
+  std::string oldList = encodeList({fleet.daemons[0]->lister.engines(), {}});
+  fleet.setLeader(1, 2);
   fleet.platform[2].draining = true;
   fleet.run(5);
   ListVersion version = front.lister.version();
-  CHECK(!front.lister.hear({"d0"}, {old, {}, oldList}, fleet.now, front.outbox));
-  CHECK(!front.lister.hear({"d0"}, {old, {}, {}}, fleet.now, front.outbox));
+  CHECK(!front.lister.handle({"d0"}, {old, {}, oldList}, fleet.now, front.outbox));
+  CHECK(!front.lister.handle({"d0"}, {old, {}, {}}, fleet.now, front.outbox));
   CHECK(front.lister.version() == version);
-  CHECK(!fleet.sentTo("e2"));
+  CHECK(!fleet.anyRouterUses("e2"));
 }
 
 TEST(EnginesLister, LoadingEnginesAreSentAtOnceAndExpireWithoutTheirLeader) {
-  Fleet fleet(2, 3, Fleet::fast());
+  Fleet fleet(2, 3, Fleet::withHighListRate());
   fleet.run(3.2);
   Daemon& primary = *fleet.daemons[0];
-  primary.lister.loading({{"e4"}, {"e1"}}, fleet.now, primary.outbox);
+  primary.lister.setLoading({{"e4"}, {"e1"}}, fleet.now, primary.outbox);
   fleet.run(3.25);
-  CHECK(!fleet.sentTo("e1") && !fleet.sentTo("e4") && fleet.sentTo("e2"));
+  CHECK(!fleet.anyRouterUses("e1") && !fleet.anyRouterUses("e4") && fleet.anyRouterUses("e2"));
   fleet.run(4);
-  fleet.lead(1, 2);  // the new leader doesn't repeat them
+  fleet.setLeader(1, 2);  // the new leader doesn't repeat them
   fleet.run(6);
-  CHECK(!fleet.sentTo("e1"));
+  CHECK(!fleet.anyRouterUses("e1"));
   fleet.run(12);
-  CHECK(fleet.sentTo("e1") && fleet.sentTo("e4"));
+  CHECK(fleet.anyRouterUses("e1") && fleet.anyRouterUses("e4"));
 }
 
 TEST(EnginesLister, LoadingEnginesExpireAtRoutersWithoutUpdates) {
-  Fleet fleet(2, 3, Fleet::fast());
+  Fleet fleet(2, 3, Fleet::withHighListRate());
   fleet.run(3.2);
   Daemon& primary = *fleet.daemons[0];
-  primary.lister.loading({{"e1"}}, fleet.now, primary.outbox);
+  primary.lister.setLoading({{"e1"}}, fleet.now, primary.outbox);
   fleet.run(3.4);
-  CHECK(!fleet.sentTo("e1"));
-  primary.inCharge = false;
+  CHECK(!fleet.anyRouterUses("e1"));
+  primary.isPoller = false;
   fleet.run(7);
-  CHECK(!fleet.sentTo("e1"));
+  CHECK(!fleet.anyRouterUses("e1"));
   fleet.run(9);
-  CHECK(fleet.sentTo("e1"));
+  CHECK(fleet.anyRouterUses("e1"));
 }
 
 TEST(EnginesLister, TheNewerOfTwoListsApplies) {
-  Fleet fleet(1, 1, Fleet::fast());
+  Fleet fleet(1, 1, Fleet::withHighListRate());
   fleet.run(3);
-  fleet.daemons[0]->inCharge = false;
+  fleet.daemons[0]->isPoller = false;
   fleet.platform[0].draining = true;
   fleet.run(6);
   Daemon& front = *fleet.daemons[1];
-  CHECK(!fleet.sentTo("e0"));
+  CHECK(!fleet.anyRouterUses("e0"));
   // A list polled before this router's own doesn't revert the drain.
   auto old = fleet.platform;
   old[0].draining = false;
-  DiscoveredEnginesUpdate news{{2ULL << 32 | 256}, seconds(3), wholeText({old, {}})};
-  CHECK(!front.lister.hear({"d0"}, news, fleet.now, front.outbox));
+  DiscoveredEnginesUpdate news{{2ULL << 32 | 256}, seconds(3), encodeList({old, {}})};
+  CHECK(!front.lister.handle({"d0"}, news, fleet.now, front.outbox));
   CHECK(front.lister.engines()[0].draining);
   news.age = {};
-  CHECK(front.lister.hear({"d0"}, news, fleet.now, front.outbox));
+  CHECK(front.lister.handle({"d0"}, news, fleet.now, front.outbox));
   CHECK(!front.lister.engines()[0].draining);
 }
 
 TEST(EnginesLister, AnOwnListOlderThanAnUpdateIsDropped) {
-  Fleet fleet(1, 1, Fleet::fast());
+  Fleet fleet(1, 1, Fleet::withHighListRate());
   fleet.run(3);
   Daemon& front = *fleet.daemons[1];
-  fleet.daemons[0]->inCharge = false;
-  front.cutFromPlatform = true;
-  while (!front.lister.onItsOwn(fleet.now)) fleet.run(inSeconds(fleet.now - at(0)) + 0.01);
+  fleet.daemons[0]->isPoller = false;
+  front.platformUnreachable = true;
+  while (!front.lister.isSelfPolling(fleet.now)) fleet.run(inSeconds(fleet.now - at(0)) + 0.01);
   std::optional<ListEngines> asked;
   while (!asked) {
     fleet.now = fleet.now + milliseconds(10);
     front.lister.tick(false, {}, fleet.now, front.outbox);
-    for (const auto& list : taken<ListEngines>(front.outbox.take())) asked = list;
+    for (const auto& list : commandsOf<ListEngines>(front.outbox.takeCommands())) asked = list;
   }
   auto newer = fleet.platform;
   newer[0].draining = true;
   MonotonicTime later = fleet.now + milliseconds(100);
-  DiscoveredEnginesUpdate news{{2ULL << 32 | 256}, {}, wholeText({newer, {}})};
-  CHECK(front.lister.hear({"d0"}, news, later, front.outbox));
-  CHECK(front.lister.listed({asked->ticket, 200, fleet.platform, {}}, later, front.outbox));
+  DiscoveredEnginesUpdate news{{2ULL << 32 | 256}, {}, encodeList({newer, {}})};
+  CHECK(front.lister.handle({"d0"}, news, later, front.outbox));
+  CHECK(front.lister.handlePage({asked->ticket, 200, fleet.platform, {}}, later, front.outbox));
   CHECK(front.lister.engines()[0].draining);
   CHECK(front.lister.version() == news.version);
 }
 
 TEST(EnginesLister, ARestartedEngineReplacesItsPredecessorAtTheAddress) {
-  Fleet fleet(1, 2, Fleet::fast());
+  Fleet fleet(1, 2, Fleet::withHighListRate());
   fleet.run(3);
   fleet.platform[2] = engineNamed("e9", "a2");
   fleet.run(4);
-  CHECK(!fleet.sentTo("e2") && fleet.sentTo("e9"));
+  CHECK(!fleet.anyRouterUses("e2") && fleet.anyRouterUses("e9"));
 }
 
 TEST(EnginesLister, EncodingsRoundTripAndInvalidOnesAreRejected) {
-  Roster before{{engineNamed("a", "1"), engineNamed("b", "2"), engineNamed("c", "3")}, {{"b"}}};
-  Roster after = before;
+  DiscoveredEngines before{{engineNamed("a", "1"), engineNamed("b", "2"), engineNamed("c", "3")},
+                           {{"b"}}};
+  DiscoveredEngines after = before;
   after.engines.erase(after.engines.begin());
   after.engines[0].draining = true;
   after.engines.push_back(engineNamed("d", "4"));
   after.engines.back().warmupLeft = seconds(2);
   after.loading = {{"d"}};
-  Roster read = before;
-  CHECK(readRoster(changeText({7}, before, after), {7}, read) == RosterRead::kTaken);
+  DiscoveredEngines read = before;
+  CHECK(decodeList(encodeListDelta({7}, before, after), {7}, read) == ListDecodeResult::kApplied);
   CHECK(read.engines == after.engines && read.loading == after.loading);
-  Roster whole;
-  CHECK(readRoster(wholeText(after), {}, whole) == RosterRead::kTaken);
+  DiscoveredEngines whole;
+  CHECK(decodeList(encodeList(after), {}, whole) == ListDecodeResult::kApplied);
   CHECK(whole.engines == after.engines && whole.loading == after.loading);
-  CHECK(readRoster(changeText({7}, before, after), {8}, read) == RosterRead::kOtherBase);
+  CHECK(decodeList(encodeListDelta({7}, before, after), {8}, read) ==
+        ListDecodeResult::kBaseMismatch);
   for (const auto* bad : {"", "[]", "{", "{\"engines\":[{}],\"loading\":[]}", "{\"engines\":7}",
                           "{\"base\":8,\"engines\":[],\"gone\":[7],\"loading\":[]}"})
-    CHECK_TEXT(readRoster(bad, {8}, read) == RosterRead::kUnreadable, bad);
+    CHECK_TEXT(decodeList(bad, {8}, read) == ListDecodeResult::kMalformed, bad);
   CHECK(read.engines == after.engines);
 }
--- a/tests/engines_world.h
+++ b/tests/engines_world.h
@@ -24,12 +24,14 @@
   MonotonicTime busyUntil = kNever, lastOrder = kNever;
   WeightsVersion coming;
   std::string lastHolder;
-  bool silent = false;                         // its answers are lost; orders still arrive
-  bool deaf = false;                           // orders and report requests don't arrive
-  OrderOutcome forced = OrderOutcome::kTaken;  // any other value is the answer to every order
-  MonotonicTime runsUntil = kNever;  // end of its running requests, for which a load waits
+  bool losesAnswers = false;  // its answers are lost; orders still arrive
+  bool unreachable = false;   // orders and report requests don't arrive
+  LoadOrderOutcome forcedOutcome =
+      LoadOrderOutcome::kAccepted;       // any other value is the answer to every order
+  MonotonicTime requestsEndAt = kNever;  // end of its running requests, for which a load waits
   std::vector<LoadMode> modes;
-  std::deque<std::pair<MonotonicTime, EngineReport>> past;  // reports by time, for delayed answers
+  std::deque<std::pair<MonotonicTime, EngineReport>>
+      pastReports;  // reports by time, for delayed answers
   EngineReport report() const {
     EngineReport report;
     report.models[kModel] = version;
@@ -39,14 +41,14 @@
   }
 };
 
-struct Answer {
+struct ScheduledAnswer {
   MonotonicTime due;
   Event event;
 };
 
 /// A leader's engine discovery and rollout, and the simulated engines.
-struct EnginesWorld {
-  explicit EnginesWorld(int count, int zones = 4) {
+struct RolloutSimulation {
+  explicit RolloutSimulation(int count, int zones = 4) {
     for (int index = 0; index < count; ++index)
       add("e" + std::to_string(100 + index), index % zones);
   }
@@ -66,36 +68,39 @@
     record.role = Role::kCore;
     return record;
   }
-  FakeEngine* at(const Address& address) {
+  FakeEngine* engineAt(const Address& address) {
     for (auto& [id, engine] : engines)
       if (engine.listed.address == address) return &engine;
     return nullptr;
   }
   /// Number of engines that are loading, without those that still wait for running requests.
-  std::size_t loadingNow() const {
+  std::size_t loadingCount() const {
     return static_cast<std::size_t>(std::ranges::count_if(engines, [&](const auto& entry) {
-      return entry.second.coming.value != 0 && now >= entry.second.runsUntil;
+      return entry.second.coming.value != 0 && now >= entry.second.requestsEndAt;
     }));
   }
-  OrderOutcome take(FakeEngine& engine, const OrderWeights& order) {
+  LoadOrderOutcome handleOrder(FakeEngine& engine, const OrderWeightsLoad& order) {
     if (engine.lastHolder != order.holder && !engine.lastHolder.empty())
-      leastGap = std::min(leastGap, now - engine.lastOrder);
+      shortestHolderGap = std::min(shortestHolderGap, now - engine.lastOrder);
     engine.lastHolder = order.holder;
     engine.lastOrder = now;
     engine.modes.push_back(order.mode);
     ++orders;
-    if (engine.forced != OrderOutcome::kTaken) return engine.forced;
-    if (order.fence < engine.fence) return OrderOutcome::kFenced;
-    engine.fence = order.fence;
-    if (order.expectedCalls && *order.expectedCalls != engine.calls) return OrderOutcome::kBusy;
-    if (engine.coming.value != 0) return OrderOutcome::kBusy;
-    if (engine.version >= order.version) return OrderOutcome::kHolds;
+    if (engine.forcedOutcome != LoadOrderOutcome::kAccepted) return engine.forcedOutcome;
+    if (order.fencingToken < engine.fence) return LoadOrderOutcome::kFenced;
+    engine.fence = order.fencingToken;
+    if (order.expectedCallCount && *order.expectedCallCount != engine.calls)
+      return LoadOrderOutcome::kBusy;
+    if (engine.coming.value != 0) return LoadOrderOutcome::kBusy;
+    if (engine.version >= order.version) return LoadOrderOutcome::kAlreadyLoaded;
     ++engine.calls;
     engine.coming = order.version;
-    MonotonicTime from = order.mode == LoadMode::kWait ? std::max(now, engine.runsUntil) : now;
-    double slower = std::pow(std::max(1.0, static_cast<double>(loadingNow()) / 3), slowing);
+    MonotonicTime from =
+        order.mode == LoadMode::kDrainRequests ? std::max(now, engine.requestsEndAt) : now;
+    double slower =
+        std::pow(std::max(1.0, static_cast<double>(loadingCount()) / 3), slowdownExponent);
     engine.busyUntil = from + loadTime * slower;
-    return OrderOutcome::kTaken;
+    return LoadOrderOutcome::kAccepted;
   }
   void run(const ListEngines& list) {
     EnginesListed page{list.ticket, 200, {}, {}};
@@ -104,100 +109,102 @@
       if (now - engine.busyUntil > seconds(0.8) && engine.busyUntil != kNever)
         page.engines.back().models[kModel] = engine.version;
     }
-    later.push_back({now + milliseconds(5), page});
+    scheduled.push_back({now + milliseconds(5), page});
   }
-  void run(const AskReport& ask) {
-    FakeEngine* engine = at(ask.address);
-    ReportAnswered answer{ask.ticket, 0, {}};
-    if (!engine || engine->silent || engine->deaf) {
-      later.push_back({now + ask.timeout, answer});
+  void run(const RequestEngineReport& ask) {
+    FakeEngine* engine = engineAt(ask.address);
+    EngineReportAnswered answer{ask.ticket, 0, {}};
+    if (!engine || engine->losesAnswers || engine->unreachable) {
+      scheduled.push_back({now + ask.timeout, answer});
       return;
     }
     answer.status = 200;
     answer.report = engine->report();
-    for (const auto& [when, report] : engine->past)
-      if (now - when >= reportsLag) answer.report = report;
-    later.push_back({now + milliseconds(5), answer});
+    for (const auto& [when, report] : engine->pastReports)
+      if (now - when >= reportDelay) answer.report = report;
+    scheduled.push_back({now + milliseconds(5), answer});
   }
-  void run(const OrderWeights& order) {
+  void run(const OrderWeightsLoad& order) {
     CHECK(now < order.writeBefore);
-    FakeEngine* engine = at(order.address);
-    OrderAnswered answer{order.ticket, OrderOutcome::kUnknown};
-    bool arrives = engine && !engine->deaf;
-    OrderOutcome outcome = OrderOutcome::kUnknown;
+    FakeEngine* engine = engineAt(order.address);
+    WeightsLoadAnswered answer{order.ticket, LoadOrderOutcome::kUnknown};
+    bool arrives = engine && !engine->unreachable;
+    LoadOrderOutcome outcome = LoadOrderOutcome::kUnknown;
     if (arrives)
-      outcome =
-          engine->listed.id == order.engine ? take(*engine, order) : OrderOutcome::kOtherEngine;
-    bool lost = !arrives || engine->silent;
+      outcome = engine->listed.id == order.engine ? handleOrder(*engine, order)
+                                                  : LoadOrderOutcome::kWrongEngine;
+    bool lost = !arrives || engine->losesAnswers;
     if (!lost) answer.outcome = outcome;
-    later.push_back({now + (lost ? order.timeout : milliseconds(5)), answer});
+    scheduled.push_back({now + (lost ? order.timeout : milliseconds(5)), answer});
   }
-  void step(Lister& lister, Rollout& rollout) {
+  void step(EngineDiscovery& discovery, Rollout& rollout) {
     for (auto& [id, engine] : engines) {
       if (engine.coming.value != 0 && now >= engine.busyUntil)
         engine.version = std::exchange(engine.coming, {});
-      engine.past.push_back({now, engine.report()});
-      if (engine.past.size() > 50) engine.past.pop_front();
+      engine.pastReports.push_back({now, engine.report()});
+      if (engine.pastReports.size() > 50) engine.pastReports.pop_front();
     }
-    std::vector<Answer> due;
-    std::erase_if(later, [&](const Answer& answer) {
+    std::vector<ScheduledAnswer> due;
+    std::erase_if(scheduled, [&](const ScheduledAnswer& answer) {
       if (answer.due > now) return false;
       due.push_back(answer);
       return true;
     });
     for (const auto& answer : due) {
-      if (auto* page = std::get_if<EnginesListed>(&answer.event)) lister.listed(*page, now, outbox);
-      if (auto* report = std::get_if<ReportAnswered>(&answer.event))
-        rollout.answered(*report, now, outbox);
-      if (auto* order = std::get_if<OrderAnswered>(&answer.event))
-        rollout.answered(*order, now, outbox);
+      if (auto* page = std::get_if<EnginesListed>(&answer.event))
+        discovery.handlePage(*page, now, outbox);
+      if (auto* report = std::get_if<EngineReportAnswered>(&answer.event))
+        rollout.handle(*report, now, outbox);
+      if (auto* order = std::get_if<WeightsLoadAnswered>(&answer.event))
+        rollout.handle(*order, now, outbox);
     }
-    lister.tick(leads, epoch, now, outbox);
-    rollout.tick(leads, epoch, now + seconds(0.9), weights, holder, now, outbox);
-    for (const auto& command : outbox.take()) {
+    discovery.tick(isLeader, epoch, now, outbox);
+    rollout.tick(isLeader, epoch, now + seconds(0.9), weights, holder, now, outbox);
+    for (const auto& command : outbox.takeCommands()) {
       if (auto* list = std::get_if<ListEngines>(&command)) run(*list);
-      if (auto* ask = std::get_if<AskReport>(&command)) run(*ask);
-      if (auto* order = std::get_if<OrderWeights>(&command)) run(*order);
+      if (auto* ask = std::get_if<RequestEngineReport>(&command)) run(*ask);
+      if (auto* order = std::get_if<OrderWeightsLoad>(&command)) run(*order);
     }
-    mostAtOnce = std::max(mostAtOnce, loadingNow());
+    maxConcurrentLoads = std::max(maxConcurrentLoads, loadingCount());
     now = now + milliseconds(20);
   }
   /// Runs until the rollout is done or the time is reached.
-  void run(double until) { run(until, lister, rollout); }
-  void run(double until, Lister& withLister, Rollout& withRollout) {
+  void run(double until) { run(until, discovery, rollout); }
+  void run(double until, EngineDiscovery& withDiscovery, Rollout& withRollout) {
     while (now < peppergate::at(until)) {
-      step(withLister, withRollout);
+      step(withDiscovery, withRollout);
       if (stopWhenDone && withRollout.done()) return;
     }
   }
-  bool all(std::uint64_t version) const {
+  bool allOnVersion(std::uint64_t version) const {
     return std::ranges::all_of(
         engines, [&](const auto& entry) { return entry.second.version.value == version; });
   }
 
-  Options options = quick();
-  static Options quick() {
+  Options options = withHighListRate();
+  static Options withHighListRate() {
     Options options;
     options.listRate = 47;
     return options;
   }
   Random random{7};
   Membership membership{options, record(), {}, random};
-  Lister lister{options, membership, random};
-  Rollout rollout{options, lister};
+  EngineDiscovery discovery{options, membership, random};
+  Rollout rollout{options, discovery};
   Outbox outbox;
   std::map<EngineId, FakeEngine> engines;
-  std::vector<Answer> later;
+  std::vector<ScheduledAnswer> scheduled;
   Weights weights{{}, {}, {{kModel, {2}}}};
   MonotonicTime now = peppergate::at(0);
-  bool leads = true, stopWhenDone = true;
+  bool isLeader = true, stopWhenDone = true;
   Epoch epoch{1};
   std::string holder = "core-1";
   Duration loadTime = seconds(1.1);
-  Duration reportsLag;
-  double slowing = 1;  // exponent by which more than three concurrent loads slow each other
-  Duration leastGap = seconds(1000);
-  std::size_t mostAtOnce = 0;
+  Duration reportDelay;
+  double slowdownExponent =
+      1;  // exponent by which more than three concurrent loads slow each other
+  Duration shortestHolderGap = seconds(1000);
+  std::size_t maxConcurrentLoads = 0;
   int orders = 0;
 };
 
--- a/tests/fetch_plan_test.cc
+++ b/tests/fetch_plan_test.cc
@@ -14,10 +14,10 @@
 
 const std::vector<Rung> kRungs{{"thin", 4}, {"half", 8}, {"most", 16}, {"whole", 32}};
 // utility = 1 - 0.8 / sqrt(rate): 4 -> 0.6, 16 -> 0.8.
-const TenantClass kDesk{-0.8, -0.5, 1, 0};
+const TenantClass kDeskClass{-0.8, -0.5, 1, 0};
 
 PlanStream stream(std::uint64_t id, std::vector<LinkId> links, std::int64_t floor = 0,
-                  std::int64_t top = 3, TenantClass tenantClass = kDesk) {
+                  std::int64_t top = 3, TenantClass tenantClass = kDeskClass) {
   return {StreamId{id}, std::move(links), tenantClass, floor, top};
 }
 
@@ -28,16 +28,16 @@
 TEST_GROUP(FetchPlan){};
 
 TEST(FetchPlan, UtilityAndRateAreInverseFunctions) {
-  DOUBLES_EQUAL(0.6, worthOf(kDesk, 4), 1e-9);
-  DOUBLES_EQUAL(0.8, worthOf(kDesk, 16), 1e-9);
-  DOUBLES_EQUAL(16, rateAt(kDesk, 0.8), 1e-9);
+  DOUBLES_EQUAL(0.6, utilityOf(kDeskClass, 4), 1e-9);
+  DOUBLES_EQUAL(0.8, utilityOf(kDeskClass, 16), 1e-9);
+  DOUBLES_EQUAL(16, rateForUtility(kDeskClass, 0.8), 1e-9);
 }
 
 TEST(FetchPlan, EqualStreamsShareALinkAtOneLevel) {
   // By hand: capacity 33 for two equal streams gives 16.5 each, a utility of 1 - 0.8 / sqrt(16.5)
   // = 0.80305; the highest rung with no higher utility is "most", with 0.8.
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 33.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 33.0}}, Options{});
   DOUBLES_EQUAL(0.80305, plan.groups[0].level, 1e-4);
   LONGS_EQUAL(2, plan.shares[{1}].rung);
   LONGS_EQUAL(2, plan.shares[{2}].rung);
@@ -46,14 +46,14 @@
 
 TEST(FetchPlan, WithEnoughCapacityAllStreamsGetTheirTopRungs) {
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 100.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 100.0}}, Options{});
   LONGS_EQUAL(3, plan.shares[{1}].rung);
   CHECK(plan.groups[0].fits);
 }
 
 TEST(FetchPlan, WithoutCapacityForTheFloorsAllStreamsGetTheirFloorRungs) {
   std::vector<PlanStream> streams{stream(1, {{"a"}}, 1), stream(2, {{"a"}}, 1)};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 10.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 10.0}}, Options{});
   LONGS_EQUAL(1, plan.shares[{1}].rung);
   CHECK_FALSE(plan.groups[0].fits);
 }
@@ -63,7 +63,7 @@
   // They leave 40 - 16 = 24 on link b for stream 3, which wants 32 and gets "most".
   std::vector<PlanStream> streams{stream(1, {{"a"}, {"b"}}), stream(2, {{"a"}, {"b"}}),
                                   stream(3, {{"b"}})};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 17.0}, {{"b"}, 40.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 17.0}, {{"b"}, 40.0}}, Options{});
   STRCMP_EQUAL("a", plan.groups[0].link.value.c_str());
   DOUBLES_EQUAL(64.0 / 17, plan.groups[0].ratio, 1e-9);
   LONGS_EQUAL(1, plan.shares[{1}].rung);
@@ -73,7 +73,7 @@
 
 TEST(FetchPlan, ALinkTwiceInAPathIsSubtractedOnce) {
   std::vector<PlanStream> streams{stream(1, {{"a"}, {"b"}, {"b"}}), stream(2, {{"b"}})};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 8.5}, {{"b"}, 48.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 8.5}, {{"b"}, 48.0}}, Options{});
   LONGS_EQUAL(1, plan.shares[{1}].rung);
   DOUBLES_EQUAL(40, plan.groups[1].capacity, 1e-9);
 }
@@ -83,7 +83,7 @@
   // 32, and the first gets 18, a utility of 1 - 0.8 / sqrt(18) = 0.81144.
   TenantClass wide{-1.6, -0.5, 1, 0};
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}}, 0, 3, wide)};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 50.0}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 50.0}}, Options{});
   DOUBLES_EQUAL(0.81144, plan.groups[0].level, 1e-4);
   LONGS_EQUAL(2, plan.shares[{1}].rung);
   LONGS_EQUAL(3, plan.shares[{2}].rung);
@@ -102,7 +102,7 @@
   // A link that only fits a utility of 0.6 needs less; a start in the middle of the range gets
   // there.
   std::vector<PlanStream> streams{stream(1, {{"a"}}), stream(2, {{"a"}})};
-  Plan plan = settle(streams, kRungs, {{{"a"}, 8.5}}, Options{});
+  FetchPlan plan = computeFetchPlan(streams, kRungs, {{{"a"}, 8.5}}, Options{});
   CHECK(plan.groups[0].level < 0.79);
   CHECK(plan.groups[0].fits);
 }
@@ -123,7 +123,7 @@
       TenantClass tenantClass{-0.5 - random.fraction(), -0.3 - 0.5 * random.fraction(), 1, floor};
       streams.push_back(stream(id, links, floor, top, tenantClass));
     }
-    Plan plan = settle(streams, kRungs, capacities, Options{});
+    FetchPlan plan = computeFetchPlan(streams, kRungs, capacities, Options{});
     LONGS_EQUAL(streams.size(), plan.shares.size());
     std::map<LinkId, double> used, floors;
     for (const auto& one : streams) {
@@ -131,7 +131,7 @@
       CHECK(share.rung >= one.floorRung && share.rung <= one.topRung);
       // No stream exceeds its group's level, unless its floor rung does.
       if (share.rung > one.floorRung)
-        CHECK(worthOf(one.tenantClass, rateOf(share.rung)) <= share.level + 1e-9);
+        CHECK(utilityOf(one.tenantClass, rateOf(share.rung)) <= share.level + 1e-9);
       for (const auto& link : std::set<LinkId>(one.links.begin(), one.links.end())) {
         used[link] += rateOf(share.rung);
         floors[link] += rateOf(one.floorRung);
@@ -173,12 +173,12 @@
 Fetch fetchFor(std::uint64_t id, const EngineList& list, const char* source, const char* engine,
                bool desk) {
   Fetch fetch;
-  fetch.want.stream = {id};
-  fetch.want.links = FetchDesk::pathOf(list, {source}, {engine});
+  fetch.planStream.stream = {id};
+  fetch.planStream.links = FetchPlanner::pathOf(list, {source}, {engine});
   fetch.className = desk ? "desk" : "trail";
-  fetch.want.tenantClass = smallSetup().classes[fetch.className];
-  fetch.want.floorRung = desk ? 1 : 0;
-  fetch.want.topRung = 3;
+  fetch.planStream.tenantClass = smallSetup().classes[fetch.className];
+  fetch.planStream.floorRung = desk ? 1 : 0;
+  fetch.planStream.topRung = 3;
   fetch.tenant = {"tenant" + std::to_string(id)};
   fetch.megabytes = 3;
   return fetch;
@@ -191,34 +191,34 @@
   EngineList list = smallList();
   Options options;
   Outbox outbox;
-  std::vector<FetchDesk> fronts;
-  std::vector<UsageNotification> notes;
+  std::vector<FetchPlanner> routers;
+  std::vector<LinkUsageNotification> notes;
   for (std::uint64_t front = 0; front < 3; ++front) {
-    FetchDesk& desk = fronts.emplace_back(options);
-    desk.links(list);
+    FetchPlanner& planner = routers.emplace_back(options);
+    planner.updateLinks(list);
     // Each router has streams of different classes over different paths, and a different number.
     for (std::uint64_t index = 0; index <= front * 2; ++index)
-      desk.begin(fetchFor(front * 100 + index, list, index % 2 ? "e2" : "e1", "e3", front != 1),
-                 setup, at(1), outbox);
-    for (int turn = 0; turn <= 40; ++turn) desk.tick(setup, at(1 + 0.05 * turn), outbox);
-    notes.push_back(desk.note({front + 1}, setup, at(3)));
+      planner.start(fetchFor(front * 100 + index, list, index % 2 ? "e2" : "e1", "e3", front != 1),
+                    setup, at(1), outbox);
+    for (int tick = 0; tick <= 40; ++tick) planner.tick(setup, at(1 + 0.05 * tick), outbox);
+    notes.push_back(planner.makeNotification({front + 1}, setup, at(3)));
   }
-  for (auto& desk : fronts)
-    for (const auto& note : notes) desk.hear(note, at(3.1));
-  for (auto& desk : fronts) desk.tick(setup, at(6), outbox);
-  CHECK(!fronts[0].plan().groups.empty());
-  for (auto& desk : fronts) {
-    CHECK_EQUAL(fronts[0].plan().groups.size(), desk.plan().groups.size());
-    for (std::size_t group = 0; group < desk.plan().groups.size(); ++group) {
-      CHECK(fronts[0].plan().groups[group].link == desk.plan().groups[group].link);
-      CHECK_EQUAL(fronts[0].plan().groups[group].level, desk.plan().groups[group].level);
+  for (auto& planner : routers)
+    for (const auto& note : notes) planner.record(note, at(3.1));
+  for (auto& planner : routers) planner.tick(setup, at(6), outbox);
+  CHECK(!routers[0].plan().groups.empty());
+  for (auto& planner : routers) {
+    CHECK_EQUAL(routers[0].plan().groups.size(), planner.plan().groups.size());
+    for (std::size_t group = 0; group < planner.plan().groups.size(); ++group) {
+      CHECK(routers[0].plan().groups[group].link == planner.plan().groups[group].link);
+      CHECK_EQUAL(routers[0].plan().groups[group].level, planner.plan().groups[group].level);
     }
   }
   // A router with an older notification computes another level, which shows that the check can
   // fail.
-  UsageNotification older = notes[2];
-  for (auto& mix : older.mixes) mix.count *= 0.2;
-  fronts[1].hear(older, at(6.1));
-  fronts[1].tick(setup, at(8.2), outbox);
-  CHECK(fronts[0].plan().groups[0].level != fronts[1].plan().groups[0].level);
+  LinkUsageNotification older = notes[2];
+  for (auto& mix : older.streamMixes) mix.count *= 0.2;
+  routers[1].record(older, at(6.1));
+  routers[1].tick(setup, at(8.2), outbox);
+  CHECK(routers[0].plan().groups[0].level != routers[1].plan().groups[0].level);
 }
--- a/tests/follower_test.cc
+++ b/tests/follower_test.cc
@@ -16,9 +16,9 @@
 MemberRecord memberAt(std::uint64_t id, const Address& address, CoreId core = {}) {
   MemberRecord record;
   record.member = {id};
-  record.address = record.pages = address;
+  record.address = record.pagesAddress = address;
   record.core = core;
-  record.role = core.value == 0 ? Role::kFront : Role::kCore;
+  record.role = core.value == 0 ? Role::kRouter : Role::kCore;
   record.heartbeat = 1;
   return record;
 }
@@ -35,13 +35,13 @@
   Follower follower{options, membership, random};
   MonotonicTime now = at(100);
 
-  void know(const MemberRecord& record) {
+  void addMember(const MemberRecord& record) {
     Shuffle shuffle;
     shuffle.sender = record;
-    membership.hear(shuffle, now, outbox);
+    membership.handle(shuffle, now, outbox);
   }
-  void knowLeader() {
-    know(memberAt(11, kLeaderAddress, kLeader));
+  void addLeader() {
+    addMember(memberAt(11, kLeaderAddress, kLeader));
     View view;
     view.epoch = {3};
     view.primary = kLeader;
@@ -53,7 +53,7 @@
   };
   std::vector<Asked> asked() {
     std::vector<Asked> found;
-    for (const auto& send : taken<Send>(outbox.take()))
+    for (const auto& send : commandsOf<Send>(outbox.takeCommands()))
       if (auto* request = std::get_if<StateRequest>(&send.message))
         found.push_back({send.to, *request});
     return found;
@@ -68,11 +68,11 @@
     return all;
   }
   StateReply proofFor(const Asked& question, Duration age) {
-    ControlState state = ControlState::founded({1});
+    ControlState state = ControlState::initial({1});
     StateReply reply;
     reply.sentAt = question.request.sentAt;
     reply.proof = true;
-    reply.age = age;
+    reply.proofAge = age;
     reply.view.epoch = {3};
     reply.view.primary = kLeader;
     reply.now = state.sections();
@@ -84,8 +84,8 @@
 };
 
 TEST(FollowerQuestions, ARelayWithoutAProofDoesNotEndTheRequestToTheLeader) {
-  knowLeader();
-  know(memberAt(21, relayAddress(1)));
+  addLeader();
+  addMember(memberAt(21, relayAddress(1)));
   follower.tick(now, outbox);  // without a proof the leader and relays are asked at once
   std::vector<Asked> questions = asked();
   bool leaderAsked = false;
@@ -95,7 +95,7 @@
     if (question.to == kLeaderAddress) continue;
     StateReply none;
     none.sentAt = question.request.sentAt;
-    follower.hear(question.to, none, now, outbox);
+    follower.handle(question.to, none, now, outbox);
   }
   // The request to the leader is still open: it isn't asked again before the timeout.
   for (const auto& question : askedWithin(options.stateRequestTimeout - milliseconds(100)))
@@ -103,9 +103,9 @@
 }
 
 TEST(FollowerQuestions, RequestsSentAtTheSameTimeHaveDifferentTimestamps) {
-  knowLeader();
+  addLeader();
   for (int number = 1; number <= 3; ++number)
-    know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
+    addMember(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
   follower.tick(now, outbox);
   std::set<std::int64_t> stamps;
   std::vector<Asked> questions = asked();
@@ -115,22 +115,22 @@
 }
 
 TEST(FollowerQuestions, OnlyTheAnswerOfTheAskedMemberCounts) {
-  knowLeader();
-  know(memberAt(21, relayAddress(1)));
+  addLeader();
+  addMember(memberAt(21, relayAddress(1)));
   follower.tick(now, outbox);
   std::vector<Asked> questions = asked();
   CHECK(!questions.empty());
   Address other{"10.0.9.9:1"};
-  follower.hear(other, proofFor(questions[0], {}), now, outbox);
-  CHECK_FALSE(follower.fresh(now));
-  follower.hear(questions[0].to, proofFor(questions[0], {}), now, outbox);
-  CHECK(follower.fresh(now));
+  follower.handle(other, proofFor(questions[0], {}), now, outbox);
+  CHECK_FALSE(follower.isFresh(now));
+  follower.handle(questions[0].to, proofFor(questions[0], {}), now, outbox);
+  CHECK(follower.isFresh(now));
 }
 
 TEST(FollowerQuestions, AllMembersAreAskedBeforeOneIsAskedAgain) {
   constexpr int kMembers = 9;
   for (int number = 1; number <= kMembers; ++number)
-    know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
+    addMember(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
   std::set<std::string> tried;
   int questions = 0;
   while (questions < kMembers)
@@ -145,10 +145,10 @@
   // Two members on the same side of a partition have the same old proof; only a third member may
   // have a younger one.
   for (int number = 1; number <= 4; ++number)
-    know(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
+    addMember(memberAt(20 + static_cast<std::uint64_t>(number), relayAddress(number)));
   std::vector<Asked> first = askedWithin(milliseconds(50));
   CHECK(!first.empty());
-  follower.hear(first[0].to, proofFor(first[0], seconds(1)), now, outbox);
+  follower.handle(first[0].to, proofFor(first[0], seconds(1)), now, outbox);
   MonotonicTime origin = now - follower.proofAge(now);
   Address companion = first[0].to;
   std::set<std::string> tried;
@@ -156,7 +156,8 @@
     for (const auto& question : askedWithin(milliseconds(50))) {
       tried.insert(question.to.value);
       if (question.to == companion)
-        follower.hear(companion, proofFor(question, question.request.sentAt - origin), now, outbox);
+        follower.handle(companion, proofFor(question, question.request.sentAt - origin), now,
+                        outbox);
     }
   LONGS_EQUAL(4, tried.size());
 }
@@ -164,21 +165,21 @@
 // Weights that arrive late may have been published as early as the last proof that showed the
 // previous ones.
 TEST(FollowerQuestions, NewWeightsAreDatedToTheProofBeforeThem) {
-  knowLeader();
+  addLeader();
   follower.tick(now, outbox);
   Asked question = asked().front();
   MonotonicTime proved = now;
   now = now + milliseconds(20);
   StateReply proof = proofFor(question, {});
-  follower.hear(question.to, proof, now, outbox);
-  CHECK(follower.primaryOrigin() == proved);
-  CHECK(follower.weightsNamedSince() == kNever);  // may be older than this process
-  now = now + seconds(8);                         // such as a process that was suspended
-  StateReply told = proof;
-  told.sentAt = kUnsolicited;
-  told.now.weights.sequence = {told.now.weights.sequence.value + 1};
-  told.weights = R"({"version":2,"label":"","models":{"llm":2}})";
-  follower.hear(kLeaderAddress, told, now, outbox);
+  follower.handle(question.to, proof, now, outbox);
+  CHECK(follower.leaderProofOrigin() == proved);
+  CHECK(follower.weightsPublishedSince() == kNever);  // may be older than this process
+  now = now + seconds(8);                             // such as a process that was suspended
+  StateReply update = proof;
+  update.sentAt = kUnsolicited;
+  update.now.weights.sequence = {update.now.weights.sequence.value + 1};
+  update.weights = R"({"version":2,"label":"","models":{"llm":2}})";
+  follower.handle(kLeaderAddress, update, now, outbox);
   CHECK(follower.weights().models.contains({"llm"}));
-  CHECK(follower.weightsNamedSince() == proved);
+  CHECK(follower.weightsPublishedSince() == proved);
 }
--- a/tests/fresh_number_test.cc
+++ b/tests/fresh_number_test.cc
@@ -10,16 +10,16 @@
 TEST_GROUP(FreshNumbers){};
 
 TEST(FreshNumbers, WithoutRandomBytesThereIsAnError) {
-  CHECK_FALSE(freshNumber([](void*, std::size_t) -> std::ptrdiff_t { return -1; }).ok());
-  CHECK_FALSE(freshNumber([](void*, std::size_t) -> std::ptrdiff_t { return 7; }).ok());
+  CHECK_FALSE(randomIdentity([](void*, std::size_t) -> std::ptrdiff_t { return -1; }).ok());
+  CHECK_FALSE(randomIdentity([](void*, std::size_t) -> std::ptrdiff_t { return 7; }).ok());
 }
 
 TEST(FreshNumbers, ANumberIsNeverZero) {
-  auto number = freshNumber([](void* buffer, std::size_t size) {
+  auto number = randomIdentity([](void* buffer, std::size_t size) {
     std::memset(buffer, 0, size);
     return static_cast<std::ptrdiff_t>(size);
   });
   CHECK(number.ok());
   CHECK(*number == 1);
-  CHECK(freshNumber() != freshNumber());
+  CHECK(randomIdentity() != randomIdentity());
 }
--- a/tests/fuzz/main.cc
+++ b/tests/fuzz/main.cc
@@ -32,11 +32,11 @@
 namespace fs = std::filesystem;
 namespace options = boost::program_options;
 
-constexpr std::size_t kMostAdded = 4000;          // inputs added to a corpus in one run
-constexpr std::size_t kLargestAdded = 16U << 10;  // bytes; longer inputs aren't added
-constexpr std::size_t kLargestAllocation = 64U << 20;
-constexpr std::size_t kMostAllocated = 256U << 20;  // bytes that one run may allocate
-constexpr time_t kSecondsForOneRun = 10;
+constexpr std::size_t kMaxAddedInputs = 4000;           // inputs added to a corpus in one run
+constexpr std::size_t kMaxAddedInputBytes = 16U << 10;  // bytes; longer inputs aren't added
+constexpr std::size_t kMaxAllocationBytes = 64U << 20;
+constexpr std::size_t kMaxAllocatedBytes = 256U << 20;  // bytes that one run may allocate
+constexpr time_t kRunTimeLimitSeconds = 10;
 
 struct Options {
   fs::path corpus, failed;
@@ -51,16 +51,16 @@
 std::string failedPath;
 
 /// Called by a signal handler or a sanitizer: saves the input of the current run.
-void keepInput() {
-  static volatile sig_atomic_t kept = 0;
-  if (kept != 0 || failedPath.empty()) return;
-  kept = 1;
+void saveFailingInput() {
+  static volatile sig_atomic_t saved = 0;
+  if (saved != 0 || failedPath.empty()) return;
+  saved = 1;
   std::ofstream(failedPath, std::ios::binary) << currentInput;
   std::cerr << "the failing input is in " << failedPath << "\n";
 }
 
 void onSignal(int signal) {
-  keepInput();
+  saveFailingInput();
   if (signal == SIGVTALRM) std::cerr << "a run exceeded its time limit\n";
   ::signal(signal, SIG_DFL);
   raise(signal == SIGVTALRM ? SIGABRT : signal);
@@ -74,7 +74,7 @@
   constexpr std::size_t kNotable = 64U << 10;
   if (!measuring || size < kNotable) return;
   std::size_t now = __sanitizer_get_current_allocated_bytes();
-  if (size <= kLargestAllocation && now <= allocatedBefore + kMostAllocated) return;
+  if (size <= kMaxAllocationBytes && now <= allocatedBefore + kMaxAllocatedBytes) return;
   measuring = false;
   require(false, "memory in proportion to the input");
 }
@@ -93,7 +93,7 @@
 void watchForFailures() {
   for (int signal : {SIGABRT, SIGVTALRM}) ::signal(signal, &onSignal);
 #if defined(__SANITIZE_ADDRESS__)
-  __sanitizer_set_death_callback(&keepInput);
+  __sanitizer_set_death_callback(&saveFailingInput);
   __sanitizer_install_malloc_and_free_hooks(&onAllocation, &onFree);
 #else
   for (int signal : {SIGSEGV, SIGBUS, SIGFPE, SIGILL}) ::signal(signal, &onSignal);
@@ -103,7 +103,7 @@
 /// Runs one input, with a limit on the process's CPU time.
 std::uint64_t runOnce(const Target& target, std::string input) {
   currentInput = std::move(input);
-  itimerval limit{{0, 0}, {kSecondsForOneRun, 0}};
+  itimerval limit{{0, 0}, {kRunTimeLimitSeconds, 0}};
   setitimer(ITIMER_VIRTUAL, &limit, nullptr);
   startMeasuring();
   std::uint64_t outcome = target.run(currentInput);
@@ -122,8 +122,8 @@
 
 std::vector<std::string> readCorpus(const fs::path& folder) {
   std::vector<fs::path> paths;
-  std::error_code fault;
-  for (const auto& entry : fs::directory_iterator(folder, fault)) paths.push_back(entry.path());
+  std::error_code error;
+  for (const auto& entry : fs::directory_iterator(folder, error)) paths.push_back(entry.path());
   std::ranges::sort(paths);
   std::vector<std::string> corpus;
   for (const auto& path : paths) corpus.push_back(readFile(path));
@@ -132,79 +132,85 @@
 
 /// Runs the corpus unchanged, then mutations of it and of inputs with new outcomes. Returns false
 /// if there is no corpus.
-bool runTarget(const Target& target, const Options& chosen) {
-  auto corpus = readCorpus(chosen.corpus / target.name);
+bool runTarget(const Target& target, const Options& parsedOptions) {
+  auto corpus = readCorpus(parsedOptions.corpus / target.name);
   if (corpus.empty()) {
-    std::cerr << "no corpus for " << target.name << " in " << chosen.corpus << "\n";
+    std::cerr << "no corpus for " << target.name << " in " << parsedOptions.corpus << "\n";
     return false;
   }
-  std::size_t files = corpus.size();
+  std::size_t fileCount = corpus.size();
   std::unordered_set<std::uint64_t> outcomes;
   for (const auto& input : corpus) outcomes.insert(runOnce(target, input));
-  Mutator mutator(chosen.seed, target.dictionary);
-  auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(chosen.seconds);
+  Mutator mutator(parsedOptions.seed, target.dictionary);
+  auto deadline =
+      std::chrono::steady_clock::now() + std::chrono::duration<double>(parsedOptions.seconds);
   std::uint64_t runs = 0;
-  auto goesOn = [&] {
-    if (chosen.seconds <= 0) return runs < chosen.runs;
-    return runs % 16 != 0 || std::chrono::steady_clock::now() < until;
+  auto shouldContinue = [&] {
+    if (parsedOptions.seconds <= 0) return runs < parsedOptions.runs;
+    return runs % 16 != 0 || std::chrono::steady_clock::now() < deadline;
   };
-  for (; goesOn(); ++runs) {
+  for (; shouldContinue(); ++runs) {
     std::uint64_t outcome = runOnce(target, mutator.next(corpus));
-    bool added = outcomes.insert(outcome).second && corpus.size() < files + kMostAdded;
-    if (added && currentInput.size() <= kLargestAdded) corpus.push_back(currentInput);
+    bool newOutcome =
+        outcomes.insert(outcome).second && corpus.size() < fileCount + kMaxAddedInputs;
+    if (newOutcome && currentInput.size() <= kMaxAddedInputBytes) corpus.push_back(currentInput);
   }
-  std::cout << target.name << ": " << files << " corpus files, " << runs << " mutations, "
+  std::cout << target.name << ": " << fileCount << " corpus files, " << runs << " mutations, "
             << outcomes.size() << " outcomes" << std::endl;
   return true;
 }
 
-int run(const Options& chosen) {
+int run(const Options& parsedOptions) {
   std::uint64_t passed = 0, failed = 0;
   for (const Target& target : allTargets()) {
-    if (!chosen.target.empty() && target.name != chosen.target) continue;
-    failedPath = (chosen.failed / ("failed-" + std::string(target.name))).string();
-    if (!chosen.input.empty()) {
+    if (!parsedOptions.target.empty() && target.name != parsedOptions.target) continue;
+    failedPath = (parsedOptions.failed / ("failed-" + std::string(target.name))).string();
+    if (!parsedOptions.input.empty()) {
       failedPath.clear();
-      runOnce(target, readFile(chosen.input));
+      runOnce(target, readFile(parsedOptions.input));
       ++passed;
     } else {
-      ++(runTarget(target, chosen) ? passed : failed);
+      ++(runTarget(target, parsedOptions) ? passed : failed);
     }
   }
   std::cout << passed << " passed, " << failed << " failed\n";
   return failed == 0 && passed > 0 ? 0 : 1;
 }
 
-int runCommand(int count, char** words) {
-  Options chosen;
-  options::options_description known("peppergate_fuzz");
-  auto add = known.add_options();
+int runCommand(int count, char** arguments) {
+  Options parsedOptions;
+  options::options_description description("peppergate_fuzz");
+  auto add = description.add_options();
   add("help", "prints this");
-  add("corpus", options::value(&chosen.corpus)->default_value("tests/corpus"), "corpus folder");
-  add("failed", options::value(&chosen.failed)->default_value("."), "folder for failing inputs");
-  add("target", options::value(&chosen.target), "one target instead of all");
-  add("input", options::value(&chosen.input), "one file to run, without mutations");
-  add("seed", options::value(&chosen.seed)->default_value(chosen.seed), "seed of the mutations");
-  add("runs", options::value(&chosen.runs)->default_value(chosen.runs), "mutations per target");
-  add("seconds", options::value(&chosen.seconds)->default_value(0),
+  add("corpus", options::value(&parsedOptions.corpus)->default_value("tests/corpus"),
+      "corpus folder");
+  add("failed", options::value(&parsedOptions.failed)->default_value("."),
+      "folder for failing inputs");
+  add("target", options::value(&parsedOptions.target), "one target instead of all");
+  add("input", options::value(&parsedOptions.input), "one file to run, without mutations");
+  add("seed", options::value(&parsedOptions.seed)->default_value(parsedOptions.seed),
+      "seed of the mutations");
+  add("runs", options::value(&parsedOptions.runs)->default_value(parsedOptions.runs),
+      "mutations per target");
+  add("seconds", options::value(&parsedOptions.seconds)->default_value(0),
       "time per target, instead of a count");
-  options::variables_map given;
+  options::variables_map variables;
   try {
-    options::store(options::parse_command_line(count, words, known), given);
-    options::notify(given);
-  } catch (const options::error& wrong) {
-    std::cerr << wrong.what() << "\n";
+    options::store(options::parse_command_line(count, arguments, description), variables);
+    options::notify(variables);
+  } catch (const options::error& error) {
+    std::cerr << error.what() << "\n";
     return 2;
   }
-  if (given.contains("help")) {
-    std::cout << known;
+  if (variables.contains("help")) {
+    std::cout << description;
     return 0;
   }
   watchForFailures();
-  return run(chosen);
+  return run(parsedOptions);
 }
 
 }  // namespace
 }  // namespace peppergate::fuzz
 
-int main(int count, char** words) { return peppergate::fuzz::runCommand(count, words); }
+int main(int count, char** arguments) { return peppergate::fuzz::runCommand(count, arguments); }
--- a/tests/fuzz/mutator.h
+++ b/tests/fuzz/mutator.h
@@ -11,7 +11,7 @@
 namespace peppergate::fuzz {
 
 /// Upper bound of a mutated input's size, in bytes.
-inline constexpr std::size_t kLongestInput = 512U << 10;
+inline constexpr std::size_t kMaxInputBytes = 512U << 10;
 
 /// Creates inputs by mutating a corpus. Not thread-safe.
 class Mutator {
@@ -24,7 +24,7 @@
   std::string next(std::span<const std::string> corpus);
 
  private:
-  using Step = void (Mutator::*)(std::string& input, std::span<const std::string> corpus);
+  using MutationStep = void (Mutator::*)(std::string& input, std::span<const std::string> corpus);
   void flipBit(std::string& input, std::span<const std::string> corpus);
   void setByte(std::string& input, std::span<const std::string> corpus);
   void insertBytes(std::string& input, std::span<const std::string> corpus);
@@ -36,8 +36,8 @@
   void splice(std::string& input, std::span<const std::string> corpus);
   void changeNumber(std::string& input, std::span<const std::string> corpus);
   void changeBinaryNumber(std::string& input, std::span<const std::string> corpus);
-  std::size_t place(const std::string& input) { return random_.below(input.size() + 1); }
-  std::size_t lengthFrom(const std::string& input, std::size_t start);
+  std::size_t randomOffset(const std::string& input) { return random_.below(input.size() + 1); }
+  std::size_t randomLength(const std::string& input, std::size_t start);
 
   Random random_;
   std::span<const std::string_view> dictionary_;
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -116,7 +116,7 @@
 
 // FNV-1a.
 constexpr std::uint64_t kHashStart = 0xcbf29ce484222325ULL, kHashFactor = 0x100000001b3ULL;
-constexpr std::size_t kMessageRead = 60;  // prefix of a message that is hashed, in bytes
+constexpr std::size_t kHashedMessageBytes = 60;  // prefix of a message that is hashed, in bytes
 
 }  // namespace
 
@@ -129,17 +129,18 @@
   std::abort();
 }
 
-std::uint64_t outcomeOf(std::initializer_list<std::uint64_t> outcomes) {
-  std::uint64_t sum = kHashStart;
-  for (std::uint64_t outcome : outcomes) sum = (sum ^ outcome) * kHashFactor;
-  return sum;
+std::uint64_t hashOutcomes(std::initializer_list<std::uint64_t> outcomes) {
+  std::uint64_t hash = kHashStart;
+  for (std::uint64_t outcome : outcomes) hash = (hash ^ outcome) * kHashFactor;
+  return hash;
 }
 
-std::uint64_t outcomeOfText(std::string_view message) {
-  std::uint64_t sum = kHashStart;
-  for (char one : message.substr(0, kMessageRead))
-    if (one < '0' || one > '9') sum = (sum ^ static_cast<unsigned char>(one)) * kHashFactor;
-  return sum;
+std::uint64_t hashMessage(std::string_view message) {
+  std::uint64_t hash = kHashStart;
+  for (char character : message.substr(0, kHashedMessageBytes))
+    if (character < '0' || character > '9')
+      hash = (hash ^ static_cast<unsigned char>(character)) * kHashFactor;
+  return hash;
 }
 
 }  // namespace peppergate::fuzz
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -27,9 +27,9 @@
 void require(bool holds, std::string_view property);
 
 /// Hashes outcomes; their order is significant.
-std::uint64_t outcomeOf(std::initializer_list<std::uint64_t> outcomes);
+std::uint64_t hashOutcomes(std::initializer_list<std::uint64_t> outcomes);
 /// Hashes an error message, without its digits.
-std::uint64_t outcomeOfText(std::string_view message);
+std::uint64_t hashMessage(std::string_view message);
 
 // HTTP: targets_http.cc
 std::uint64_t runRequestHead(std::string_view input);
--- a/tests/fuzz/targets_documents.cc
+++ b/tests/fuzz/targets_documents.cc
@@ -31,11 +31,11 @@
 /// Returns a newly founded state with the configuration `kBaseConfig`.
 const ControlState& stateWithConfig() {
   static const ControlState kState = [] {
-    ControlState state = ControlState::founded(Epoch{1});
+    ControlState state = ControlState::initial(Epoch{1});
     std::string change = R"({"kind":"replace","basedOnVersion":0,"config":)";
     change.append(kBaseConfig).append("}");
-    ChangeReply answer = state.apply(change, "base", Epoch{1}, Options{});
-    require(answer.outcome == ChangeOutcome::kDone, "the base configuration is accepted");
+    ChangeReply reply = state.apply(change, "base", Epoch{1}, Options{});
+    require(reply.outcome == ChangeOutcome::kDone, "the base configuration is accepted");
     return state;
   }();
   return kState;
@@ -44,38 +44,39 @@
 /// Applies a change. The serialized state must parse again and serialize to the same text; a
 /// rejected change must leave the state as it was.
 std::uint64_t applyChange(ControlState state, const std::string& change) {
-  std::string before = state.text();
-  ChangeReply answer = state.apply(change, "c1", Epoch{2}, Options{});
-  auto outcome = static_cast<std::uint64_t>(answer.outcome);
-  if (answer.outcome != ChangeOutcome::kDone) {
-    require(state.text() == before, "a rejected change leaves the state as it was");
-    return outcomeOf({outcome, outcomeOfText(answer.field)});
+  std::string before = state.serialize();
+  ChangeReply reply = state.apply(change, "c1", Epoch{2}, Options{});
+  auto outcome = static_cast<std::uint64_t>(reply.outcome);
+  if (reply.outcome != ChangeOutcome::kDone) {
+    require(state.serialize() == before, "a rejected change leaves the state as it was");
+    return hashOutcomes({outcome, hashMessage(reply.field)});
   }
-  auto back = ControlState::parse(state.text());
-  require(back.ok(), "a state can be read back");
-  require(back->text() == state.text(), "a state that is read back has the same text");
+  auto parsed = ControlState::parse(state.serialize());
+  require(parsed.ok(), "a state can be read back");
+  require(parsed->serialize() == state.serialize(), "a state that is read back has the same text");
   require(readSetup(state.setupText()).ok(), "the setup section can be read");
   require(readKeys(state.keysText()).ok(), "the keys section can be read");
   require(readWeights(state.weightsText()).ok(), "the weights section can be read");
-  return outcomeOf({outcome, state.configVersion().value > kBaseVersion});
+  return hashOutcomes({outcome, state.configVersion().value > kBaseVersion});
 }
 
 std::uint64_t runOrder(std::string_view path, std::string_view input) {
-  Headers headers{{std::string(platform::kBase), std::to_string(kBaseVersion)}};
-  auto call = dialect().readOperator({1}, "POST", std::string(path), headers, std::string(input));
+  Headers headers{{std::string(platform::kBasedOnVersion), std::to_string(kBaseVersion)}};
+  auto call =
+      dialect().readOperatorCall({1}, "POST", std::string(path), headers, std::string(input));
   require(call.has_value(), "an operator's path is known");
-  if (call->refused) return outcomeOf({1, outcomeOfText(call->refused->body)});
-  return outcomeOf({2, applyChange(stateWithConfig(), call->asked.body)});
+  if (call->refusal) return hashOutcomes({1, hashMessage(call->refusal->body)});
+  return hashOutcomes({2, applyChange(stateWithConfig(), call->request.body)});
 }
 
 /// Renaming the platform's field names to internal ones and back must restore the document.
-void requireNamesSurvive(const Json& document) {
-  using platform::Way;
-  Json config = platform::renameConfig(document, Way::kToOwn);
-  require(platform::renameConfig(config, Way::kToPlatform) == document,
+void requireNamesRoundTrip(const Json& document) {
+  using platform::Direction;
+  Json config = platform::renameConfig(document, Direction::kToInternal);
+  require(platform::renameConfig(config, Direction::kToPlatform) == document,
           "a configuration's names survive a round trip");
-  Json amendment = platform::renameAmendment(document, Way::kToOwn);
-  require(platform::renameAmendment(amendment, Way::kToPlatform) == document,
+  Json amendment = platform::renameAmendment(document, Direction::kToInternal);
+  require(platform::renameAmendment(amendment, Direction::kToPlatform) == document,
           "an amendment's names survive a round trip");
 }
 
@@ -83,79 +84,81 @@
 
 std::uint64_t runOrders(std::string_view input) {
   auto document = platform::parseJson(input);
-  if (document && document->is_object()) requireNamesSurvive(*document);
-  return outcomeOf({runOrder(platform::kReplacePath, input), runOrder(platform::kAmendPath, input),
-                    runOrder(platform::kNewWeightsPath, input)});
+  if (document && document->is_object()) requireNamesRoundTrip(*document);
+  return hashOutcomes({runOrder(platform::kReplacePath, input),
+                       runOrder(platform::kAmendPath, input),
+                       runOrder(platform::kWeightsVersionPath, input)});
 }
 
 std::uint64_t runChange(std::string_view input) {
-  readHead(input);
+  readTopLevelStrings(input);
   return applyChange(stateWithConfig(), std::string(input));
 }
 
 std::uint64_t runEngineAnswers(std::string_view input) {
-  HttpAnswer answer;
-  answer.status = 200;
-  answer.written = true;
-  answer.body = input;
-  ReportAnswered report = dialect().readReport({1}, answer);
-  PartsPolled polled = dialect().readPoll({2}, answer);
-  PartsListed listed = dialect().readParts({3}, answer);
-  OrderAnswered order = dialect().readOrder({4}, answer);
-  require(order.outcome == OrderOutcome::kHolds, "an order's outcome depends on the status alone");
+  HttpResponse reply;
+  reply.status = 200;
+  reply.written = true;
+  reply.body = input;
+  EngineReportAnswered report = dialect().readEngineReport({1}, reply);
+  PrefixBlocksPolled polled = dialect().readBlockPoll({2}, reply);
+  PrefixBlocksListed listed = dialect().readBlockList({3}, reply);
+  WeightsLoadAnswered order = dialect().readOrderResponse({4}, reply);
+  require(order.outcome == LoadOrderOutcome::kAlreadyLoaded,
+          "an order's outcome depends on the status alone");
   auto status = [](int value) { return static_cast<std::uint64_t>(value + 1000); };
-  return outcomeOf({status(report.status), report.report.models.size() > 0, status(polled.status),
-                    polled.changes.size() > 0, polled.lost, status(listed.status),
-                    listed.held.size() > 0});
+  return hashOutcomes({status(report.status), report.report.models.size() > 0,
+                       status(polled.status), polled.changes.size() > 0, polled.lost,
+                       status(listed.status), listed.blocks.size() > 0});
 }
 
 std::uint64_t runEngineList(std::string_view input) {
-  HttpAnswer answer;
-  answer.status = 200;
-  answer.written = true;
-  answer.body = input;
-  EnginesListed listed = dialect().readList({1}, answer);
-  Roster roster;
-  RosterRead read = readRoster(input, {17}, roster);
+  HttpResponse reply;
+  reply.status = 200;
+  reply.written = true;
+  reply.body = input;
+  EnginesListed listed = dialect().readEngineList({1}, reply);
+  DiscoveredEngines roster;
+  ListDecodeResult read = decodeList(input, {17}, roster);
   if (listed.status == 200) {
-    orderById(listed.engines);
-    Roster whole{listed.engines, {}};
-    Roster back;
-    require(readRoster(wholeText(whole), {1}, back) == RosterRead::kTaken,
+    sortById(listed.engines);
+    DiscoveredEngines whole{listed.engines, {}};
+    DiscoveredEngines parsed;
+    require(decodeList(encodeList(whole), {1}, parsed) == ListDecodeResult::kApplied,
             "an accepted list can be serialized for other daemons");
-    require(sameEngines(back.engines, whole.engines), "a serialized list is read back unchanged");
+    require(sameEngines(parsed.engines, whole.engines), "a serialized list is read back unchanged");
   }
-  return outcomeOf({static_cast<std::uint64_t>(listed.status + 1000), listed.engines.size() > 0,
-                    !listed.nextPage.empty(), static_cast<std::uint64_t>(read),
-                    roster.engines.size() > 0});
+  return hashOutcomes({static_cast<std::uint64_t>(listed.status + 1000), listed.engines.size() > 0,
+                       !listed.nextPage.empty(), static_cast<std::uint64_t>(read),
+                       roster.engines.size() > 0});
 }
 
 std::uint64_t runSettings(std::string_view input) {
   auto settings = platform::readSettings(input);
   if (!settings.ok())
-    return outcomeOf({1, outcomeOfText(std::string(settings.status().message()))});
+    return hashOutcomes({1, hashMessage(std::string(settings.status().message()))});
   platform::addressesOf(*settings);
   auto options = platform::optionsFrom(*settings);
-  if (options.ok()) return outcomeOf({2, settings->servesControl, settings->servesClients});
-  return outcomeOf({3, outcomeOfText(std::string(options.status().message()))});
+  if (options.ok()) return hashOutcomes({2, settings->servesControl, settings->servesClients});
+  return hashOutcomes({3, hashMessage(std::string(options.status().message()))});
 }
 
 namespace {
 
 /// Starts a core node from files with the given content and hashes the number of its messages.
-std::uint64_t startWith(const std::string& content) {
+std::uint64_t startCoreNodeWith(const std::string& content) {
   std::uint64_t outcome = 0;
   for (const char* name : {"identity", "voter.00000000000000000001",
                            "state.00000000000000000001.00000000000000000002"}) {
-    DiskFound found;
+    DiskContents found;
     found.files[name] = content;
-    identityOn(found);
-    bootstrapOn(found);
+    readIdentity(found);
+    readBootstrap(found);
     MemberRecord self;
     self.address = {"127.0.0.1:1"};
     CoreNode core(Options{}, self, {}, found, 7, MonotonicTime{});
-    core.step(Ticked{}, MonotonicTime{} + seconds(1));
-    outcome = outcomeOf({outcome, core.outbox().take().size()});
+    core.step(Tick{}, MonotonicTime{} + seconds(1));
+    outcome = hashOutcomes({outcome, core.outbox().takeCommands().size()});
   }
   return outcome;
 }
@@ -167,9 +170,9 @@
   bool setup = readSetup(std::string(input)).ok();
   bool keys = readKeys(std::string(input)).ok();
   bool weights = readWeights(std::string(input)).ok();
-  std::uint64_t torn = startWith(std::string(input));
-  std::uint64_t whole = startWith(sealed(input));
-  return outcomeOf({state.ok(), setup, keys, weights, torn, whole});
+  std::uint64_t torn = startCoreNodeWith(std::string(input));
+  std::uint64_t whole = startCoreNodeWith(withChecksum(input));
+  return hashOutcomes({state.ok(), setup, keys, weights, torn, whole});
 }
 
 }  // namespace peppergate::fuzz
--- a/tests/guards_test.cc
+++ b/tests/guards_test.cc
@@ -16,8 +16,8 @@
 struct GuardRow {
   const char* scenario;
   const char* guard;
-  const char* never;   // the failure that must be reported
-  std::uint64_t seed;  // the first seed under which it is
+  const char* failure;  // the failure that must be reported
+  std::uint64_t seed;   // the first seed under which it is
 };
 constexpr std::array<GuardRow, 22> kRows{{
     {"08-front-cut-off-with-withdrawn-key", "freshness", "withdrawn-key-served", 1},
@@ -44,20 +44,20 @@
     {"56-two-disks-lost-of-five", "backup-sync", "acknowledged-change-lost", 21},
 }};
 
-bool seen(const RunReport& report, const std::string& never) {
+bool reports(const RunReport& report, const std::string& expected) {
   return std::ranges::any_of(report.failures, [&](const std::string& failure) {
-    return failure.find(never) != std::string::npos;
+    return failure.find(expected) != std::string::npos;
   });
 }
 
 /// Whether the row's failure is reported under one of six seeds with the guard disabled.
-bool breaks(const GuardRow& row) {
+bool breaksRule(const GuardRow& row) {
   auto scenario = loadScenario(std::string(SOURCE_FOLDER "/scenarios/") + row.scenario + ".txt");
-  auto guard = std::ranges::find(kGuardNames, row.guard);
-  if (!scenario.ok() || guard == kGuardNames.end()) return false;
-  scenario->guardsOff = 1U << static_cast<unsigned>(guard - kGuardNames.begin());
+  auto guard = std::ranges::find(kSafetyGuardNames, row.guard);
+  if (!scenario.ok() || guard == kSafetyGuardNames.end()) return false;
+  scenario->disabledGuards = 1U << static_cast<unsigned>(guard - kSafetyGuardNames.begin());
   for (std::uint64_t seed = row.seed; seed < row.seed + 6; ++seed)
-    if (seen(runScenario(*scenario, seed), row.never)) return true;
+    if (reports(runScenario(*scenario, seed), row.failure)) return true;
   return false;
 }
 
@@ -67,7 +67,7 @@
 
 TEST(Guards, EachDisabledGuardBreaksAScenario) {
   std::vector<std::future<bool>> broken;
-  for (const auto& row : kRows) broken.push_back(std::async(std::launch::async, breaks, row));
+  for (const auto& row : kRows) broken.push_back(std::async(std::launch::async, breaksRule, row));
   for (std::size_t index = 0; index < kRows.size(); ++index)
     CHECK_TEXT(broken[index].get(),
                (std::string(kRows[index].scenario) + " without " + kRows[index].guard).c_str());
@@ -78,11 +78,11 @@
   CHECK(scenario.ok());
   scenario->options = {{"backups", "1"}};
   // Both copies are lost, so no machine may become leader: acknowledged changes can't be recovered.
-  CHECK(seen(runScenario(*scenario, 1), "no primary"));
+  CHECK(reports(runScenario(*scenario, 1), "no primary"));
 }
 
 TEST(Guards, EveryGuardHasARow) {
-  for (const auto& name : kGuardNames)
+  for (const auto& name : kSafetyGuardNames)
     CHECK_TEXT(std::ranges::any_of(kRows, [&](const GuardRow& row) { return name == row.guard; }),
                std::string(name).c_str());
 }
--- a/tests/history_checker_test.cc
+++ b/tests/history_checker_test.cc
@@ -9,230 +9,235 @@
 namespace {
 
 /// A history under construction; times are in milliseconds.
-class HandMade {
+class HistoryBuilder {
  public:
-  HandMade& change(const std::string& order, std::uint64_t base, std::uint64_t version, int start,
-                   int end, Outcome outcome = Outcome::kDone) {
-    return changeTo(order, base, version, "contents-" + order, start, end, outcome);
+  HistoryBuilder& change(const std::string& changeKey, std::uint64_t base, std::uint64_t version,
+                         int start, int end, CallOutcome outcome = CallOutcome::kDone) {
+    return changeWithContents(changeKey, base, version, "contents-" + changeKey, start, end,
+                              outcome);
   }
-  HandMade& changeTo(const std::string& order, std::uint64_t base, std::uint64_t version,
-                     const std::string& digest, int start, int end, Outcome outcome) {
+  HistoryBuilder& changeWithContents(const std::string& changeKey, std::uint64_t base,
+                                     std::uint64_t version, const std::string& digest, int start,
+                                     int end, CallOutcome outcome) {
     OperatorCall call;
     call.registerName = "configuration";
     call.operatorName = "operator1";
-    call.order = order;
+    call.changeKey = changeKey;
     call.base = Version{0, base};
     call.version = Version{0, version};
     call.digest = digest;
-    finish(call, start, end, outcome);
+    addCall(call, start, end, outcome);
     return *this;
   }
-  HandMade& read(std::uint64_t version, const std::string& digest, int start, int end) {
+  HistoryBuilder& read(std::uint64_t version, const std::string& digest, int start, int end) {
     OperatorCall call;
     call.registerName = "configuration";
     call.operatorName = "operator2";
     call.kind = CallKind::kRead;
     call.version = Version{0, version};
     call.digest = digest;
-    finish(call, start, end, Outcome::kDone);
+    addCall(call, start, end, CallOutcome::kDone);
     return *this;
   }
-  HandMade& final() {
-    calls_.back().final = true;
+  HistoryBuilder& markFinalRead() {
+    calls_.back().finalRead = true;
     return *this;
   }
-  HandMade& improper() {
-    calls_.back().proper = false;
+  HistoryBuilder& invalid() {
+    calls_.back().valid = false;
     return *this;
   }
-  std::vector<ViolationKind> kinds() const {
+  std::vector<ViolationKind> violationKinds() const {
     std::vector<ViolationKind> kinds;
     for (const auto& violation : checkHistory(calls_)) kinds.push_back(violation.kind);
     return kinds;
   }
-  bool good() const { return kinds().empty(); }
-  bool finds(ViolationKind kind) const {
-    const auto found = kinds();
+  bool linearizable() const { return violationKinds().empty(); }
+  bool hasViolation(ViolationKind kind) const {
+    const auto found = violationKinds();
     return std::ranges::find(found, kind) != found.end();
   }
 
  private:
-  void finish(OperatorCall& call, int start, int end, Outcome outcome) {
+  void addCall(OperatorCall& call, int start, int end, CallOutcome outcome) {
     call.outcome = outcome;
     call.start = start * 1000;
-    call.end = outcome == Outcome::kUnknown ? kNoEnd : end * 1000;
+    call.end = outcome == CallOutcome::kUnknown ? kNoEnd : end * 1000;
     calls_.push_back(call);
   }
   std::vector<OperatorCall> calls_;
 };
 
-constexpr int kOpen = 0;  // ignored: a call without an answer has no end
+constexpr int kNoAnswer = 0;  // ignored: a call without an answer has no end
 
 }  // namespace
 
 TEST_GROUP(HistoryChecker){};
 
 TEST(HistoryChecker, AcceptsChangesAndReadsInOrder) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).read(3, "contents-a", 11, 12);
-  history.change("b", 3, 5, 20, 30).read(5, "contents-b", 31, 32).final();
-  CHECK(history.good());
+  history.change("b", 3, 5, 20, 30).read(5, "contents-b", 31, 32).markFinalRead();
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, AcceptsAReadOfEitherVersionDuringAChange) {
-  HandMade older, newer;
+  HistoryBuilder older, newer;
   older.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(3, "contents-a", 22, 25);
   newer.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(5, "contents-b", 22, 25);
-  CHECK(older.good());
-  CHECK(newer.good());
+  CHECK(older.linearizable());
+  CHECK(newer.linearizable());
 }
 
 TEST(HistoryChecker, RejectsReadsThatGoBackDuringAChange) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 90);
   history.read(5, "contents-b", 22, 25).read(3, "contents-a", 30, 35);
-  CHECK(history.finds(ViolationKind::kStaleRead));
+  CHECK(history.hasViolation(ViolationKind::kStaleRead));
 }
 
 TEST(HistoryChecker, RejectsAStaleRead) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(3, "contents-a", 31, 40);
-  CHECK(history.finds(ViolationKind::kStaleRead));
+  CHECK(history.hasViolation(ViolationKind::kStaleRead));
 }
 
 TEST(HistoryChecker, RejectsAReadOfNothingAfterTheFirstChange) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).read(0, "", 11, 12);
-  CHECK(history.finds(ViolationKind::kStaleRead));
+  CHECK(history.hasViolation(ViolationKind::kStaleRead));
 }
 
 TEST(HistoryChecker, AllowsEitherOutcomeOfAnUnansweredChange) {
-  HandMade lost, taken;
-  lost.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kOpen, Outcome::kUnknown);
-  lost.change("c", 3, 6, 40, 50).read(6, "contents-c", 60, 61).final();
-  taken.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kOpen, Outcome::kUnknown);
-  taken.change("c", 5, 6, 40, 50).read(6, "contents-c", 60, 61).final();
-  CHECK(lost.good());
-  CHECK(taken.good());
+  HistoryBuilder lost, taken;
+  lost.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kNoAnswer, CallOutcome::kUnknown);
+  lost.change("c", 3, 6, 40, 50).read(6, "contents-c", 60, 61).markFinalRead();
+  taken.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kNoAnswer, CallOutcome::kUnknown);
+  taken.change("c", 5, 6, 40, 50).read(6, "contents-c", 60, 61).markFinalRead();
+  CHECK(lost.linearizable());
+  CHECK(taken.linearizable());
 }
 
 TEST(HistoryChecker, AllowsAnUnansweredChangeToTakeEffectLate) {
-  HandMade history;
-  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kOpen, Outcome::kUnknown);
+  HistoryBuilder history;
+  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, kNoAnswer, CallOutcome::kUnknown);
   history.read(3, "contents-a", 500, 501).read(5, "contents-b", 600, 601);
-  CHECK(history.good());
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, RejectsAReadBeforeItsChangeBegan) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).read(5, "contents-b", 12, 15);
   history.change("b", 3, 5, 20, 30);
-  CHECK(history.finds(ViolationKind::kNotLinearizable));
+  CHECK(history.hasViolation(ViolationKind::kNotLinearizable));
 }
 
 TEST(HistoryChecker, AcceptsTheRefusalOfAConcurrentChange) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10);
-  history.change("b", 3, 5, 20, 30).change("c", 3, 6, 20, 29, Outcome::kRefused);
-  CHECK(history.good());
+  history.change("b", 3, 5, 20, 30).change("c", 3, 6, 20, 29, CallOutcome::kRefused);
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, RejectsTwoAcknowledgedChangesOnOneBase) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).change("c", 3, 6, 20, 40);
-  CHECK(history.finds(ViolationKind::kTwoOnOneBase));
+  CHECK(history.hasViolation(ViolationKind::kTwoChangesOnOneBase));
 }
 
 TEST(HistoryChecker, RejectsOneVersionAcknowledgedWithTwoContents) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).change("c", 3, 5, 20, 40);
-  CHECK(history.finds(ViolationKind::kTwoContents));
+  CHECK(history.hasViolation(ViolationKind::kTwoContents));
 }
 
 TEST(HistoryChecker, RejectsAReadOfOtherContentsThanWereSent) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).read(3, "contents-z", 11, 12);
-  CHECK(history.finds(ViolationKind::kTwoContents));
+  CHECK(history.hasViolation(ViolationKind::kTwoContents));
 }
 
 TEST(HistoryChecker, RejectsAReadOfContentsThatNobodySent) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).read(9, "contents-z", 11, 12);
-  CHECK(history.finds(ViolationKind::kUnknownContents));
+  CHECK(history.hasViolation(ViolationKind::kUnknownContents));
 }
 
 TEST(HistoryChecker, AcceptsTheRepeatOfAnAppliedChange) {
-  HandMade history;
-  history.change("a", 0, 3, 0, kOpen, Outcome::kUnknown).change("b", 3, 5, 20, 30);
+  HistoryBuilder history;
+  history.change("a", 0, 3, 0, kNoAnswer, CallOutcome::kUnknown).change("b", 3, 5, 20, 30);
   history.change("a", 0, 3, 40, 50);
-  CHECK(history.good());
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, RejectsTheRefusedRepeatOfAnAppliedChange) {
-  HandMade acknowledged, readBack;
+  HistoryBuilder acknowledged, readBack;
   acknowledged.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30);
-  acknowledged.change("a", 0, 3, 40, 50, Outcome::kRefused);
-  CHECK(acknowledged.finds(ViolationKind::kRefusedRepeat));
-  readBack.change("a", 0, 3, 0, kOpen, Outcome::kUnknown).read(3, "contents-a", 10, 11);
-  readBack.change("a", 0, 3, 20, 30, Outcome::kRefused);
-  CHECK(readBack.finds(ViolationKind::kRefusedRepeat));
+  acknowledged.change("a", 0, 3, 40, 50, CallOutcome::kRefused);
+  CHECK(acknowledged.hasViolation(ViolationKind::kRefusedAfterApplied));
+  readBack.change("a", 0, 3, 0, kNoAnswer, CallOutcome::kUnknown).read(3, "contents-a", 10, 11);
+  readBack.change("a", 0, 3, 20, 30, CallOutcome::kRefused);
+  CHECK(readBack.hasViolation(ViolationKind::kRefusedAfterApplied));
 }
 
 TEST(HistoryChecker, RejectsARefusalThatOnlyTheSameChangeExplains) {
   // "b" is based on "a", so "a" took effect; no other change can have caused its refusal.
-  HandMade history;
-  history.change("a", 0, 3, 0, kOpen, Outcome::kUnknown);
-  history.change("a", 0, 3, 20, 30, Outcome::kRefused).change("b", 3, 5, 40, 50);
-  CHECK_FALSE(history.good());
+  HistoryBuilder history;
+  history.change("a", 0, 3, 0, kNoAnswer, CallOutcome::kUnknown);
+  history.change("a", 0, 3, 20, 30, CallOutcome::kRefused).change("b", 3, 5, 40, 50);
+  CHECK_FALSE(history.linearizable());
 }
 
 TEST(HistoryChecker, RejectsTheRefusalOfAChangeOnTheNewestVersion) {
-  HandMade history;
-  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30, Outcome::kRefused);
-  CHECK(history.finds(ViolationKind::kRefusedOnNewest));
+  HistoryBuilder history;
+  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30, CallOutcome::kRefused);
+  CHECK(history.hasViolation(ViolationKind::kRefusedOnNewest));
 }
 
 TEST(HistoryChecker, AcceptsTheRefusalOfAnInvalidChange) {
-  HandMade history;
-  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30, Outcome::kRefused).improper();
-  history.change("c", 3, 2, 40, 50, Outcome::kRefused);  // its version is not above its base
-  CHECK(history.good());
+  HistoryBuilder history;
+  history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30, CallOutcome::kRefused).invalid();
+  history.change("c", 3, 2, 40, 50, CallOutcome::kRefused);  // its version is not above its base
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, RejectsAnAcknowledgedInvalidChange) {
-  HandMade improper, low;
-  improper.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).improper();
-  CHECK(improper.finds(ViolationKind::kImproperAcknowledged));
+  HistoryBuilder invalid, low;
+  invalid.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).invalid();
+  CHECK(invalid.hasViolation(ViolationKind::kInvalidAcknowledged));
   low.change("a", 0, 3, 0, 10).change("b", 3, 3, 20, 30);
-  CHECK(low.finds(ViolationKind::kImproperAcknowledged));
+  CHECK(low.hasViolation(ViolationKind::kInvalidAcknowledged));
 }
 
 TEST(HistoryChecker, RejectsALostAcknowledgedChange) {
-  HandMade atEnd, builtOver;
-  atEnd.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).read(3, "contents-a", 90, 91).final();
-  CHECK(atEnd.finds(ViolationKind::kLostChange));
+  HistoryBuilder atEnd, builtOver;
+  atEnd.change("a", 0, 3, 0, 10)
+      .change("b", 3, 5, 20, 30)
+      .read(3, "contents-a", 90, 91)
+      .markFinalRead();
+  CHECK(atEnd.hasViolation(ViolationKind::kLostChange));
   builtOver.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30).change("c", 3, 7, 40, 50);
-  CHECK(builtOver.finds(ViolationKind::kTwoOnOneBase));
+  CHECK(builtOver.hasViolation(ViolationKind::kTwoChangesOnOneBase));
 }
 
 TEST(HistoryChecker, RejectsAReadOfARefusedChange) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10).change("b", 3, 5, 20, 30);
-  history.change("c", 3, 6, 20, 30, Outcome::kRefused).read(6, "contents-c", 40, 41);
-  CHECK(history.finds(ViolationKind::kRefusedContents));
+  history.change("c", 3, 6, 20, 30, CallOutcome::kRefused).read(6, "contents-c", 40, 41);
+  CHECK(history.hasViolation(ViolationKind::kRefusedContents));
 }
 
 TEST(HistoryChecker, AcceptsTheSameContentsFromTwoOperators) {
   // Both send identical contents with the same version, so the two changes are indistinguishable.
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 3, 0, 10);
-  history.changeTo("b", 3, 5, "same", 20, 30, Outcome::kDone);
-  history.changeTo("c", 3, 5, "same", 20, 40, Outcome::kDone);
-  CHECK(history.good());
+  history.changeWithContents("b", 3, 5, "same", 20, 30, CallOutcome::kDone);
+  history.changeWithContents("c", 3, 5, "same", 20, 40, CallOutcome::kDone);
+  CHECK(history.linearizable());
 }
 
 TEST(HistoryChecker, ChoosesAmongUnansweredChangesByLaterAnswers) {
-  HandMade history;
+  HistoryBuilder history;
   history.change("a", 0, 1, 0, 10);
   // One change of each pair must be in the chain; only the last read determines which.
   const int kPairs = 200;
@@ -240,27 +245,27 @@
   for (int pair = 0; pair < kPairs; ++pair) {
     const std::uint64_t version = base + 1;
     const std::string name = std::to_string(pair);
-    history.change("left" + name, base, version, 20 + pair, kOpen, Outcome::kUnknown);
-    history.change("right" + name, base, version, 20 + pair, kOpen, Outcome::kUnknown);
+    history.change("left" + name, base, version, 20 + pair, kNoAnswer, CallOutcome::kUnknown);
+    history.change("right" + name, base, version, 20 + pair, kNoAnswer, CallOutcome::kUnknown);
     base = version;
   }
-  HandMade good = history;
-  good.read(base, "contents-right199", 900, 901);
-  CHECK(good.good());
-  HandMade bad = history;
+  HistoryBuilder linearizable = history;
+  linearizable.read(base, "contents-right199", 900, 901);
+  CHECK(linearizable.linearizable());
+  HistoryBuilder bad = history;
   bad.read(base, "contents-right199", 900, 901).read(base - 1, "contents-left198", 902, 903);
-  CHECK(bad.finds(ViolationKind::kStaleRead));
+  CHECK(bad.hasViolation(ViolationKind::kStaleRead));
 }
 
 TEST(HistoryChecker, ChecksEachRegisterSeparately) {
-  HandMade one;
+  HistoryBuilder one;
   one.change("a", 0, 3, 0, 10);
   OperatorCall other;
   other.registerName = "setup";
   other.operatorName = "operator1";
-  other.order = "a";
-  other.assigned = true;
-  other.outcome = Outcome::kDone;
+  other.changeKey = "a";
+  other.versionIsAssigned = true;
+  other.outcome = CallOutcome::kDone;
   other.start = 20;
   other.end = 30;
   other.version = Version{1, 3};
@@ -268,13 +273,13 @@
   CHECK(checkHistory(calls).empty());
   other.start = 40;
   other.end = 50;
-  other.order = "b";
+  other.changeKey = "b";
   other.version = Version{1, 2};  // later in time, but a lower version
   calls.push_back(other);
-  const Verdict verdict = checkHistory(calls);
-  LONGS_EQUAL(1, verdict.size());
-  CHECK(verdict[0].kind == ViolationKind::kOrder);
-  STRCMP_EQUAL("setup", verdict[0].registerName.c_str());
+  const Violations violations = checkHistory(calls);
+  LONGS_EQUAL(1, violations.size());
+  CHECK(violations[0].kind == ViolationKind::kVersionOrder);
+  STRCMP_EQUAL("setup", violations[0].registerName.c_str());
 }
 
 TEST_GROUP(HistoryFile){
@@ -290,8 +295,8 @@
   call.registerName = "configuration";
   call.operatorName = "operator1";
   call.machine = "core2";
-  call.order = "order-1";
-  call.outcome = Outcome::kDone;
+  call.changeKey = "order-1";
+  call.outcome = CallOutcome::kDone;
   call.start = 5;
   call.end = 9;
   call.base = Version{0, 3};
