--- a/tests/sim_disk_test.cc
+++ b/tests/sim_disk_test.cc
@@ -29,36 +29,36 @@
   return found;
 }
 
-void writeWhole(SimDisk& disk, const std::string& name, const std::string& content) {
+void writeDurably(SimDisk& disk, const std::string& name, const std::string& content) {
   disk.truncate(name);
   disk.append(name, content);
   disk.sync(name);
   disk.syncFolder();
 }
 
-using Found = std::set<std::string>;
+using Contents = std::set<std::string>;
 
 }  // namespace
 
 TEST_GROUP(SimulatedDisk){};
 
 TEST(SimulatedDisk, SyncedFileInASyncedDirectorySurvives) {
-  Found found = afterPowerLosses("a", [](SimDisk& disk) { writeWhole(disk, "a", "whole"); });
-  CHECK(found == Found{"whole"});
+  Contents found = afterPowerLosses("a", [](SimDisk& disk) { writeDurably(disk, "a", "whole"); });
+  CHECK(found == Contents{"whole"});
 }
 
 TEST(SimulatedDisk, NameIsDurableOnlyAfterADirectorySync) {
-  Found found = afterPowerLosses("a", [](SimDisk& disk) {
+  Contents found = afterPowerLosses("a", [](SimDisk& disk) {
     disk.truncate("a");
     disk.append("a", "whole");
     disk.sync("a");
   });
-  CHECK((found == Found{"-", "whole"}));
+  CHECK((found == Contents{"-", "whole"}));
 }
 
 TEST(SimulatedDisk, UnsyncedWriteMayKeepAPrefixOrHaveAHole) {
-  Found found = afterPowerLosses("a", [](SimDisk& disk) {
-    writeWhole(disk, "a", "old");
+  Contents found = afterPowerLosses("a", [](SimDisk& disk) {
+    writeDurably(disk, "a", "old");
     disk.append("a", "new");
   });
   CHECK(found.contains("old") && found.contains("oldnew"));
@@ -68,25 +68,25 @@
 
 TEST(SimulatedDisk, RenameIsCompleteAbsentOrLeavesBothNames) {
   auto work = [](SimDisk& disk) {
-    writeWhole(disk, "a", "old");
-    writeWhole(disk, "b", "new");
+    writeDurably(disk, "a", "old");
+    writeDurably(disk, "b", "new");
     disk.rename("b", "a");
   };
-  CHECK((afterPowerLosses("a", work) == Found{"old", "new"}));
-  CHECK((afterPowerLosses("b", work) == Found{"-", "new"}));
+  CHECK((afterPowerLosses("a", work) == Contents{"old", "new"}));
+  CHECK((afterPowerLosses("b", work) == Contents{"-", "new"}));
 }
 
 TEST(SimulatedDisk, RemovedFileMayReappearUntilTheDirectoryIsSynced) {
   auto removed = [](SimDisk& disk) {
-    writeWhole(disk, "a", "old");
+    writeDurably(disk, "a", "old");
     disk.remove("a");
   };
-  CHECK((afterPowerLosses("a", removed) == Found{"-", "old"}));
+  CHECK((afterPowerLosses("a", removed) == Contents{"-", "old"}));
   auto synced = [&](SimDisk& disk) {
     removed(disk);
     disk.syncFolder();
   };
-  CHECK((afterPowerLosses("a", synced) == Found{"-"}));
+  CHECK((afterPowerLosses("a", synced) == Contents{"-"}));
 }
 
 TEST(SimulatedDisk, UnsyncedDataSurvivesTheEndOfAProcess) {
@@ -98,7 +98,7 @@
 
 TEST(SimulatedDisk, DirectoryChangesSurviveIndependently) {
   // Of two created files, either one alone may survive.
-  Found pairs;
+  Contents pairs;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SimDisk disk;
     for (const char* name : {"a", "b"}) {
@@ -111,19 +111,19 @@
     for (const auto& name : disk.names()) pair += name;
     pairs.insert(pair);
   }
-  CHECK((pairs == Found{"", "a", "b", "ab"}));
+  CHECK((pairs == Contents{"", "a", "b", "ab"}));
 }
 
 /// A disk task with its disk and simulated time.
-struct TaskBench {
+struct DiskTaskFixture {
   EventQueue queue{MonotonicTime{}};
   Random random;
   SimDrive drive;
   bool frozen = false;
   std::vector<FileWritten> answers;
   std::shared_ptr<SimDiskTask> task;
-  explicit TaskBench(std::uint64_t seed) : random(seed) { begin(); }
-  void begin() {
+  explicit DiskTaskFixture(std::uint64_t seed) : random(seed) { startTask(); }
+  void startTask() {
     task = std::make_shared<SimDiskTask>(
         queue, random, drive, [this] { return frozen; },
         [this](const FileWritten& written) { answers.push_back(written); });
@@ -131,7 +131,7 @@
   void write(std::uint64_t ticket, const std::string& name, const std::string& content) {
     task->write({{ticket}, name, content});
   }
-  bool answered(std::uint64_t ticket) const {
+  bool isAcknowledged(std::uint64_t ticket) const {
     for (const auto& answer : answers)
       if (answer.ticket.value == ticket && answer.synced) return true;
     return false;
@@ -139,7 +139,7 @@
   /// Advances time.
   void run(Duration time) {
     bool over = false;
-    queue.after(time, [&over] { over = true; });
+    queue.scheduleAfter(time, [&over] { over = true; });
     while (!over && queue.runNext()) {
     }
   }
@@ -155,16 +155,16 @@
 TEST(SimulatedDiskTask, AcknowledgedWritesSurvivePowerLossAtAnyInstant) {
   bool sawOld = false, sawNewUnanswered = false;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    TaskBench bench(seed);
-    bench.write(1, "state.1", "first content");
-    bench.run(milliseconds(20));
-    CHECK(bench.answered(1));
-    bench.write(2, "state.2", "second content");
-    bench.run(Duration{static_cast<std::int64_t>(bench.random.below(6000))});
-    bool answered = bench.answered(2);
-    bench.task.reset();
-    bench.drive.disk.losePower(bench.random);
-    auto files = loadFiles(bench.drive.disk);
+    DiskTaskFixture fixture(seed);
+    fixture.write(1, "state.1", "first content");
+    fixture.run(milliseconds(20));
+    CHECK(fixture.isAcknowledged(1));
+    fixture.write(2, "state.2", "second content");
+    fixture.run(Duration{static_cast<std::int64_t>(fixture.random.below(6000))});
+    bool answered = fixture.isAcknowledged(2);
+    fixture.task.reset();
+    fixture.drive.disk.losePower(fixture.random);
+    auto files = loadFiles(fixture.drive.disk);
     STRCMP_EQUAL("first content", files["state.1"].c_str());
     if (answered) CHECK(files.contains("state.2"));
     if (files.contains("state.2")) STRCMP_EQUAL("second content", files["state.2"].c_str());
@@ -180,92 +180,92 @@
   // A process ends between the rename and the sync of the directory. The next process reads the
   // file and acts on it, and then power is lost.
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    TaskBench bench(seed);
-    bench.write(1, "voter.1", "promise");
-    bench.run(Duration{static_cast<std::int64_t>(bench.random.below(5000))});
-    bench.task.reset();
-    auto read = loadFiles(bench.drive.disk);
-    bench.drive.disk.losePower(bench.random);
-    CHECK(loadFiles(bench.drive.disk) == read);
+    DiskTaskFixture fixture(seed);
+    fixture.write(1, "voter.1", "promise");
+    fixture.run(Duration{static_cast<std::int64_t>(fixture.random.below(5000))});
+    fixture.task.reset();
+    auto read = loadFiles(fixture.drive.disk);
+    fixture.drive.disk.losePower(fixture.random);
+    CHECK(loadFiles(fixture.drive.disk) == read);
   }
 }
 
 TEST(SimulatedDiskTask, CommandsRunInOrder) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    TaskBench bench(seed);
+    DiskTaskFixture fixture(seed);
     for (std::uint64_t ticket = 1; ticket <= 5; ++ticket)
-      bench.write(ticket, "state." + std::to_string(ticket), "content");
-    bench.task->dropOlder({"state", 2});
-    bench.run(milliseconds(60));
-    CHECK_EQUAL(5, bench.answers.size());
+      fixture.write(ticket, "state." + std::to_string(ticket), "content");
+    fixture.task->removeOlderFiles({"state", 2});
+    fixture.run(milliseconds(60));
+    CHECK_EQUAL(5, fixture.answers.size());
     for (std::uint64_t ticket = 1; ticket <= 5; ++ticket)
-      CHECK_EQUAL(ticket, bench.answers[ticket - 1].ticket.value);
-    CHECK((bench.drive.disk.names() == std::vector<std::string>{"state.4", "state.5"}));
+      CHECK_EQUAL(ticket, fixture.answers[ticket - 1].ticket.value);
+    CHECK((fixture.drive.disk.names() == std::vector<std::string>{"state.4", "state.5"}));
   }
 }
 
 TEST(SimulatedDiskTask, FullDiskKeepsTheOldFileAndTheWriteIsRetried) {
-  TaskBench bench(7);
-  bench.write(1, "voter.1", "before");
-  bench.run(milliseconds(20));
-  bench.drive.mode = DiskMode::kFull;
-  bench.write(2, "voter.1", "after");
-  bench.run(seconds(2));
-  CHECK(!bench.answered(2));
-  STRCMP_EQUAL("before", bench.content("voter.1")->c_str());
-  bench.drive.mode = DiskMode::kGood;
-  bench.run(milliseconds(250));
-  CHECK(bench.answered(2));
-  STRCMP_EQUAL("after", bench.content("voter.1")->c_str());
+  DiskTaskFixture fixture(7);
+  fixture.write(1, "voter.1", "before");
+  fixture.run(milliseconds(20));
+  fixture.drive.mode = DiskMode::kFull;
+  fixture.write(2, "voter.1", "after");
+  fixture.run(seconds(2));
+  CHECK(!fixture.isAcknowledged(2));
+  STRCMP_EQUAL("before", fixture.content("voter.1")->c_str());
+  fixture.drive.mode = DiskMode::kGood;
+  fixture.run(milliseconds(250));
+  CHECK(fixture.isAcknowledged(2));
+  STRCMP_EQUAL("after", fixture.content("voter.1")->c_str());
 }
 
 TEST(SimulatedDiskTask, WriteCompletesAfterAHang) {
-  TaskBench bench(7);
-  bench.drive.mode = DiskMode::kHanging;
-  bench.write(1, "voter.1", "content");
-  bench.run(seconds(8));
-  CHECK(bench.answers.empty());
-  bench.drive.mode = DiskMode::kGood;
-  bench.run(milliseconds(150));
-  CHECK(bench.answered(1));
+  DiskTaskFixture fixture(7);
+  fixture.drive.mode = DiskMode::kStalled;
+  fixture.write(1, "voter.1", "content");
+  fixture.run(seconds(8));
+  CHECK(fixture.answers.empty());
+  fixture.drive.mode = DiskMode::kGood;
+  fixture.run(milliseconds(150));
+  CHECK(fixture.isAcknowledged(1));
 }
 
 TEST(SimulatedDiskTask, SlowDiskTakesLongerByItsFactor) {
-  TaskBench bench(7);
-  bench.drive.mode = DiskMode::kSlow;
-  bench.drive.slowness = 30;
-  bench.write(1, "voter.1", "content");
-  bench.run(milliseconds(29));
-  CHECK(bench.answers.empty());
-  bench.run(milliseconds(100));
-  CHECK(bench.answered(1));
+  DiskTaskFixture fixture(7);
+  fixture.drive.mode = DiskMode::kSlow;
+  fixture.drive.slowdownFactor = 30;
+  fixture.write(1, "voter.1", "content");
+  fixture.run(milliseconds(29));
+  CHECK(fixture.answers.empty());
+  fixture.run(milliseconds(100));
+  CHECK(fixture.isAcknowledged(1));
 }
 
 TEST(SimulatedDiskTask, FailedSyncIsNotAcknowledgedAndMayLeaveEitherContent) {
-  Found found;
+  Contents found;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    TaskBench bench(seed);
-    bench.write(1, "voter.1", "before");
-    bench.run(milliseconds(20));
-    bench.drive.mode = DiskMode::kFailingSync;
-    bench.write(2, "voter.1", "after");
-    bench.run(milliseconds(20));
-    CHECK_EQUAL(2, bench.answers.size());
-    CHECK(!bench.answered(2));
-    bench.task.reset();
-    bench.drive.disk.losePower(bench.random);
-    found.insert(loadFiles(bench.drive.disk)["voter.1"]);
+    DiskTaskFixture fixture(seed);
+    fixture.write(1, "voter.1", "before");
+    fixture.run(milliseconds(20));
+    fixture.drive.mode = DiskMode::kFailingSync;
+    fixture.write(2, "voter.1", "after");
+    fixture.run(milliseconds(20));
+    CHECK_EQUAL(2, fixture.answers.size());
+    CHECK(!fixture.isAcknowledged(2));
+    fixture.task.reset();
+    fixture.drive.disk.losePower(fixture.random);
+    found.insert(loadFiles(fixture.drive.disk)["voter.1"]);
   }
-  CHECK((found == Found{"before", "after"}));
+  CHECK((found == Contents{"before", "after"}));
 }
 
 TEST(SimulatedDiskTask, FrozenProcessBeginsNoStep) {
-  TaskBench bench(7);
-  bench.frozen = true;
-  bench.write(1, "voter.1", "content");
-  bench.run(seconds(3));
-  CHECK(bench.drive.disk.empty());
-  bench.frozen = false;
-  bench.run(milliseconds(150));
-  CHECK(bench.answered(1));
+  DiskTaskFixture fixture(7);
+  fixture.frozen = true;
+  fixture.write(1, "voter.1", "content");
+  fixture.run(seconds(3));
+  CHECK(fixture.drive.disk.empty());
+  fixture.frozen = false;
+  fixture.run(milliseconds(150));
+  CHECK(fixture.isAcknowledged(1));
 }
--- a/tests/socket_script.cc
+++ b/tests/socket_script.cc
@@ -12,15 +12,15 @@
 namespace peppergate {
 namespace {
 
-SocketScript* script = nullptr;
-std::size_t failingConnects = 0;
+SocketFaultInjector* activeInjector = nullptr;
+std::size_t connectsToFail = 0;
 int connectError = 0;
 
 std::uint16_t peerPort(int descriptor) {
-  sockaddr_in place{};
-  socklen_t size = sizeof place;
-  if (getpeername(descriptor, reinterpret_cast<sockaddr*>(&place), &size) != 0) return 0;
-  return ntohs(place.sin_port);
+  sockaddr_in socketAddress{};
+  socklen_t size = sizeof socketAddress;
+  if (getpeername(descriptor, reinterpret_cast<sockaddr*>(&socketAddress), &size) != 0) return 0;
+  return ntohs(socketAddress.sin_port);
 }
 
 /// Identifies a socket, even if its descriptor number was used by an earlier socket.
@@ -32,34 +32,36 @@
 
 }  // namespace
 
-SocketScript::SocketScript(Limit limit) : limit_(std::move(limit)) { script = this; }
-SocketScript::~SocketScript() { script = nullptr; }
+SocketFaultInjector::SocketFaultInjector(Fault limit) : fault_(std::move(limit)) {
+  activeInjector = this;
+}
+SocketFaultInjector::~SocketFaultInjector() { activeInjector = nullptr; }
 
-void failConnects(std::size_t count, int error) {
-  failingConnects = count;
+void failNextConnects(std::size_t count, int error) {
+  connectsToFail = count;
   connectError = error;
 }
 
-void SocketScript::connectBegun(std::uint16_t port) {
-  if (port != limit_.port) return;
-  if (auto connected = std::exchange(limit_.connected, nullptr)) connected();
+void SocketFaultInjector::onConnect(std::uint16_t port) {
+  if (port != fault_.port) return;
+  if (auto connected = std::exchange(fault_.afterConnect, nullptr)) connected();
 }
 
-long SocketScript::allowed(int descriptor, std::size_t size) {
+long SocketFaultInjector::allowedBytes(int descriptor, std::size_t size) {
   std::uint64_t cookie = cookieOf(descriptor);
   if (!cookie_) {
-    if (peerPort(descriptor) != limit_.port) return static_cast<long>(size);
+    if (peerPort(descriptor) != fault_.port) return static_cast<long>(size);
     cookie_ = cookie;
-    if (auto before = std::exchange(limit_.before, nullptr)) before();
+    if (auto before = std::exchange(fault_.beforeFirstWrite, nullptr)) before();
   }
   if (cookie != *cookie_) return static_cast<long>(size);
-  std::size_t left = limit_.bytes - taken_;
+  std::size_t left = fault_.acceptedBytes - writtenBytes_;
   if (left == 0) {
-    errno = limit_.error;
+    errno = fault_.error;
     return -1;
   }
   std::size_t now = std::min(left, size);
-  taken_ += now;
+  writtenBytes_ += now;
   return static_cast<long>(now);
 }
 
@@ -69,44 +71,46 @@
 
 /// The definition of a function that follows the one in this program: the C library's.
 template <class Function>
-Function* next(const char* name) {
+Function* nextDefinition(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
 }  // namespace
 
-using peppergate::script;
+using peppergate::activeInjector;
 
 // These take precedence over the C library's for the whole process, including calls from libraries.
 extern "C" {
 
 ssize_t send(int descriptor, const void* data, size_t size, int flags) {
-  static auto* const kNext = next<ssize_t(int, const void*, size_t, int)>("send");
-  if (script == nullptr) return kNext(descriptor, data, size, flags);
-  long allowed = script->allowed(descriptor, size);
+  static auto* const kRealFunction = nextDefinition<ssize_t(int, const void*, size_t, int)>("send");
+  if (activeInjector == nullptr) return kRealFunction(descriptor, data, size, flags);
+  long allowed = activeInjector->allowedBytes(descriptor, size);
   if (allowed < 0) return -1;
-  return kNext(descriptor, data, static_cast<size_t>(allowed), flags);
+  return kRealFunction(descriptor, data, static_cast<size_t>(allowed), flags);
 }
 
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  static auto* const kNext = next<ssize_t(int, const msghdr*, int)>("sendmsg");
-  if (script == nullptr || message->msg_iovlen == 0) return kNext(descriptor, message, flags);
+  static auto* const kRealFunction = nextDefinition<ssize_t(int, const msghdr*, int)>("sendmsg");
+  if (activeInjector == nullptr || message->msg_iovlen == 0)
+    return kRealFunction(descriptor, message, flags);
   // With an active script only the first buffer is written; the caller retries with the rest.
   const iovec& first = message->msg_iov[0];
   return send(descriptor, first.iov_base, first.iov_len, flags);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static auto* const kNext = next<int(int, const sockaddr*, socklen_t)>("connect");
-  if (peppergate::failingConnects > 0) {
-    --peppergate::failingConnects;
+  static auto* const kRealFunction =
+      nextDefinition<int(int, const sockaddr*, socklen_t)>("connect");
+  if (peppergate::connectsToFail > 0) {
+    --peppergate::connectsToFail;
     errno = peppergate::connectError;
     return -1;
   }
-  int result = kNext(descriptor, address, size);
+  int result = kRealFunction(descriptor, address, size);
   int error = errno;
-  if (script != nullptr && address->sa_family == AF_INET)
-    script->connectBegun(ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port));
+  if (activeInjector != nullptr && address->sa_family == AF_INET)
+    activeInjector->onConnect(ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port));
   errno = error;
   return result;
 }
--- a/tests/spread_broadcast_test.cc
+++ b/tests/spread_broadcast_test.cc
@@ -16,67 +16,67 @@
   return addresses;
 }
 
-Message useOf(std::uint64_t front) { return EngineUse{{front}, {}, {}, {}}; }
+Message usageOf(std::uint64_t front) { return EngineUsageNotification{{front}, {}, {}, {}}; }
 
 }  // namespace
 
 TEST_GROUP(SpreadBroadcasts) {
-  SpreadBroadcast spread;
+  SpreadBroadcast broadcasts;
   Outbox outbox;
-  std::map<Address, std::vector<std::uint64_t>> got;  // by receiver, in order of arrival
+  std::map<Address, std::vector<std::uint64_t>> received;  // by receiver, in order of arrival
   /// Runs one tick and returns the largest number of receivers of one broadcast.
   std::size_t tick(MonotonicTime now) {
-    std::size_t most = 0;
-    spread.tick(now, outbox);
-    for (const auto& told : taken<Broadcast>(outbox.take())) {
-      most = std::max(most, told.to.size());
-      for (const auto& to : told.to)
-        got[to].push_back(std::get<EngineUse>(*told.message).front.value);
+    std::size_t largest = 0;
+    broadcasts.tick(now, outbox);
+    for (const auto& broadcast : commandsOf<Broadcast>(outbox.takeCommands())) {
+      largest = std::max(largest, broadcast.to.size());
+      for (const auto& to : broadcast.to)
+        received[to].push_back(std::get<EngineUsageNotification>(*broadcast.message).router.value);
     }
-    return most;
+    return largest;
   }
   std::size_t run(double from, double to) {
-    std::size_t most = 0;
+    std::size_t largest = 0;
     for (int step = 0; from + 0.05 * step <= to; ++step)
-      most = std::max(most, tick(at(from + 0.05 * step)));
-    return most;
+      largest = std::max(largest, tick(at(from + 0.05 * step)));
+    return largest;
   }
 };
 
 TEST(SpreadBroadcasts, ReachEachReceiverOnceWithinTheSpan) {
-  spread.begin(receivers(80), {useOf(1), useOf(2)}, seconds(0.8), at(1));
+  broadcasts.begin(receivers(80), {usageOf(1), usageOf(2)}, seconds(0.8), at(1));
   CHECK(run(1, 1.81) <= 16);
-  CHECK(spread.idle());
-  LONGS_EQUAL(80, got.size());
-  for (const auto& [to, fronts] : got) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
+  CHECK(broadcasts.idle());
+  LONGS_EQUAL(80, received.size());
+  for (const auto& [to, fronts] : received) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
 }
 
 TEST(SpreadBroadcasts, OnePortionIsSentAtOnce) {
-  spread.begin(receivers(8), {useOf(1)}, seconds(0.5), at(1));
+  broadcasts.begin(receivers(8), {usageOf(1)}, seconds(0.5), at(1));
   LONGS_EQUAL(8, tick(at(1)));
-  CHECK(spread.idle());
+  CHECK(broadcasts.idle());
 }
 
 TEST(SpreadBroadcasts, RoundsArriveInOrder) {
-  spread.begin(receivers(60), {useOf(1)}, seconds(0.5), at(1));
+  broadcasts.begin(receivers(60), {usageOf(1)}, seconds(0.5), at(1));
   run(1, 1.2);
-  spread.begin(receivers(60), {useOf(2)}, seconds(0.5), at(1.2));
+  broadcasts.begin(receivers(60), {usageOf(2)}, seconds(0.5), at(1.2));
   run(1.2, 2);
-  CHECK(spread.idle());
-  LONGS_EQUAL(60, got.size());
-  for (const auto& [to, fronts] : got) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
+  CHECK(broadcasts.idle());
+  LONGS_EQUAL(60, received.size());
+  for (const auto& [to, fronts] : received) CHECK(fronts == (std::vector<std::uint64_t>{1, 2}));
 }
 
 TEST(SpreadBroadcasts, ALateTickSendsAllThatIsOverdue) {
-  spread.begin(receivers(60), {useOf(1)}, seconds(0.5), at(1));
+  broadcasts.begin(receivers(60), {usageOf(1)}, seconds(0.5), at(1));
   tick(at(1));
   tick(at(3));
-  CHECK(spread.idle());
-  LONGS_EQUAL(60, got.size());
+  CHECK(broadcasts.idle());
+  LONGS_EQUAL(60, received.size());
 }
 
 TEST(SpreadBroadcasts, ARoundWithoutReceiversOrMessagesIsDropped) {
-  spread.begin({}, {useOf(1)}, seconds(0.5), at(1));
-  spread.begin(receivers(3), {}, seconds(0.5), at(1));
-  CHECK(spread.idle());
+  broadcasts.begin({}, {usageOf(1)}, seconds(0.5), at(1));
+  broadcasts.begin(receivers(3), {}, seconds(0.5), at(1));
+  CHECK(broadcasts.idle());
 }
--- a/tests/testing.h
+++ b/tests/testing.h
@@ -12,7 +12,7 @@
 
 /// The commands of one type, in order.
 template <class T>
-std::vector<T> taken(const std::vector<Command>& commands) {
+std::vector<T> commandsOf(const std::vector<Command>& commands) {
   std::vector<T> found;
   for (const auto& command : commands)
     if (auto* one = std::get_if<T>(&command)) found.push_back(*one);
@@ -20,7 +20,7 @@
 }
 
 /// All sent messages with their receivers; a broadcast yields one entry per receiver.
-inline std::vector<Send> sends(const std::vector<Command>& commands) {
+inline std::vector<Send> sentMessages(const std::vector<Command>& commands) {
   std::vector<Send> found;
   for (const auto& command : commands) {
     if (auto* one = std::get_if<Send>(&command)) found.push_back(*one);
@@ -32,9 +32,9 @@
 
 /// The sent messages of one type, including those of broadcasts.
 template <class T>
-std::vector<T> messages(const std::vector<Command>& commands) {
+std::vector<T> messagesOf(const std::vector<Command>& commands) {
   std::vector<T> found;
-  for (const auto& send : sends(commands))
+  for (const auto& send : sentMessages(commands))
     if (auto* one = std::get_if<T>(&send.message)) found.push_back(*one);
   return found;
 }
--- a/tests/units_test.cc
+++ b/tests/units_test.cc
@@ -30,44 +30,44 @@
   Options reread;
   reread.lease = seconds(9);
   reread.probeEvery = seconds(2);
-  Options options = mayReloadOnly(Options{}, reread);
+  Options options = withReloadedOptions(Options{}, reread);
   CHECK(options.lease == Options{}.lease);
   CHECK(options.probeEvery == seconds(2));
 }
 
 TEST(Units, RetriesHaveNoInitialAllowanceAndNoBurst) {
-  Budget budget(0.15, seconds(10));
-  CHECK_FALSE(budget.takeSecond(at(0)));
-  for (int shot = 0; shot < 6; ++shot) budget.first(at(0.1));
-  CHECK_FALSE(budget.takeSecond(at(0.2)));  // 0.15 * 6 = 0.9 allows no retry
-  budget.first(at(0.3));
-  CHECK(budget.takeSecond(at(0.4)));
-  CHECK_FALSE(budget.takeSecond(at(0.5)));
-  CHECK_FALSE(budget.takeSecond(at(30)));  // unused budget expires with the window
+  RetryBudget budget(0.15, seconds(10));
+  CHECK_FALSE(budget.takeRetry(at(0)));
+  for (int shot = 0; shot < 6; ++shot) budget.recordFirstAttempt(at(0.1));
+  CHECK_FALSE(budget.takeRetry(at(0.2)));  // 0.15 * 6 = 0.9 allows no retry
+  budget.recordFirstAttempt(at(0.3));
+  CHECK(budget.takeRetry(at(0.4)));
+  CHECK_FALSE(budget.takeRetry(at(0.5)));
+  CHECK_FALSE(budget.takeRetry(at(30)));  // unused budget expires with the window
 }
 
 TEST(Units, RetryShareHoldsOverAnySpan) {
-  Budget budget(0.15, seconds(10));
+  RetryBudget budget(0.15, seconds(10));
   Random random(3);
-  double firsts = 0, seconds_ = 0;
+  double firstAttempts = 0, retries = 0;
   for (double now = 0; now < 120; now += 0.05) {
     bool quiet = static_cast<int>(now / 17) % 2 == 1;
     if (!quiet && random.below(2) == 0) {
-      budget.first(at(now));
-      ++firsts;
+      budget.recordFirstAttempt(at(now));
+      ++firstAttempts;
     }
-    while (budget.takeSecond(at(now))) ++seconds_;
-    CHECK(seconds_ <= 0.2 * firsts);
+    while (budget.takeRetry(at(now))) ++retries;
+    CHECK(retries <= 0.2 * firstAttempts);
   }
-  CHECK(seconds_ > 0.08 * firsts);
+  CHECK(retries > 0.08 * firstAttempts);
 }
 
 TEST(Units, PartNamesDependOnIsolationDomainWeightsAndPrefix) {
-  PartName one = partName({"wall"}, {1}, {}, "rulebook");
-  CHECK(one != partName({"other"}, {1}, {}, "rulebook"));
-  CHECK(one != partName({"wall"}, {2}, {}, "rulebook"));
-  CHECK(one != partName({"wall"}, {1}, one, "rulebook"));
-  CHECK(one == partName({"wall"}, {1}, {}, "rulebook"));
+  PrefixBlockName one = prefixBlockName({"wall"}, {1}, {}, "rulebook");
+  CHECK(one != prefixBlockName({"other"}, {1}, {}, "rulebook"));
+  CHECK(one != prefixBlockName({"wall"}, {2}, {}, "rulebook"));
+  CHECK(one != prefixBlockName({"wall"}, {1}, one, "rulebook"));
+  CHECK(one == prefixBlockName({"wall"}, {1}, {}, "rulebook"));
   CHECK(keyDigest("secret").value.find("secret") == std::string::npos);
 }
 
@@ -75,44 +75,44 @@
   std::vector<MemberRecord> members(9);
   for (std::size_t index = 0; index < members.size(); ++index)
     members[index].member = {1000 + index};
-  Ring whole(members);
-  std::vector<MemberRecord> fewer(members.begin() + 1, members.end());
-  Ring part(fewer);
-  int moved = 0, wasGone = 0;
+  HashRing fullRing(members);
+  std::vector<MemberRecord> remainingMembers(members.begin() + 1, members.end());
+  HashRing reducedRing(remainingMembers);
+  int moved = 0, ownedByRemoved = 0;
   for (int engine = 0; engine < 500; ++engine) {
     EngineId id{"engine" + std::to_string(engine)};
-    auto before = whole.owners(id, 3), after = part.owners(id, 3);
+    auto before = fullRing.owners(id, 3), after = reducedRing.owners(id, 3);
     LONGS_EQUAL(3, before.size());
     CHECK(before[0] != before[1] && before[1] != before[2] && before[0] != before[2]);
-    if (before[0] == members[0].member) ++wasGone;
+    if (before[0] == members[0].member) ++ownedByRemoved;
     else if (before[0] != after[0]) ++moved;
   }
   LONGS_EQUAL(0, moved);
-  CHECK(wasGone > 15 && wasGone < 130);
+  CHECK(ownedByRemoved > 15 && ownedByRemoved < 130);
 }
 
 TEST(Units, AdmissionShedsLowRanksFirstAndIsFairWithinARank) {
-  Gate gate{Options{}};
+  AdmissionController admission{Options{}};
   Tenant high, low;
   high.rank = 0;
   low.rank = 3;
-  GateUsage crowded{80, 100, 0, 1};
-  CHECK(gate.allow({"high"}, high, crowded) == GateVerdict::kAllowed);
-  CHECK(gate.allow({"low"}, low, crowded) == GateVerdict::kOverload);
+  ServiceLoad nearlyFull{80, 100, 0, 1};
+  CHECK(admission.allow({"high"}, high, nearlyFull) == AdmissionVerdict::kAllowed);
+  CHECK(admission.allow({"low"}, low, nearlyFull) == AdmissionVerdict::kOverload);
   Tenant flooding;
   flooding.rank = 1;
-  for (int stream = 0; stream < 50; ++stream) gate.enter({"flood"}, 1);
-  gate.enter({"small"}, 1);
-  GateUsage busy{70, 100, 51, 1};
-  CHECK(gate.allow({"flood"}, flooding, busy) == GateVerdict::kTenantShare);
-  CHECK(gate.allow({"small"}, flooding, busy) == GateVerdict::kAllowed);
+  for (int stream = 0; stream < 50; ++stream) admission.enter({"flood"}, 1);
+  admission.enter({"small"}, 1);
+  ServiceLoad loaded{70, 100, 51, 1};
+  CHECK(admission.allow({"flood"}, flooding, loaded) == AdmissionVerdict::kTenantShare);
+  CHECK(admission.allow({"small"}, flooding, loaded) == AdmissionVerdict::kAllowed);
 }
 
 TEST(Units, RetryDelaysAreAtLeastASecondAndSpread) {
   Random random(5);
   std::set<std::int64_t> seen;
   for (int turn = 0; turn < 200; ++turn) {
-    Duration after = Gate::retryAfter(random, 1);
+    Duration after = AdmissionController::retryAfter(random, 1);
     CHECK(after >= seconds(1));
     seen.insert(inMilliseconds(after));
   }
@@ -130,11 +130,11 @@
 }
 
 TEST_GROUP(ControlStates) {
-  ControlState state = ControlState::founded({1});
+  ControlState state = ControlState::initial({1});
   ChangeReply apply(const std::string& change, const std::string& id) {
     return state.apply(change, id, {2}, Options{});
   }
-  void setup() { apply(firstSetupBody("hutline", "1.1"), "first"); }
+  void setup() { apply(initialSetupChange("hutline", "1.1"), "first"); }
 };
 
 TEST(ControlStates, ARepeatedChangeIdIsAppliedOnce) {
@@ -196,11 +196,11 @@
 TEST(ControlStates, ATooLargeChangeIsRejectedAndTheStateRoundTrips) {
   Options small;
   small.largestSetup = 100;
-  auto answer = state.apply(firstSetupBody("hutline", "2.2"), "big", {2}, small);
+  auto answer = state.apply(initialSetupChange("hutline", "2.2"), "big", {2}, small);
   CHECK(answer.outcome == ChangeOutcome::kTooLarge);
-  auto parsed = ControlState::parse(state.text());
+  auto parsed = ControlState::parse(state.serialize());
   CHECK(parsed.ok());
-  CHECK(parsed->text() == state.text());
+  CHECK(parsed->serialize() == state.serialize());
   CHECK_FALSE(ControlState::parse("{}").ok());
 }
 
@@ -227,53 +227,55 @@
   for (const auto& row : kRows) {
     auto scenario = parseScenario(row.text);
     CHECK_FALSE(scenario.ok());
-    std::string said(scenario.status().message());
-    bool named = said.find(row.where) != std::string::npos ||
-                 (std::string(row.where) == "no expectation" &&
-                  said.find("without expectation") != std::string::npos);
-    CHECK_TEXT(named, said.c_str());
+    std::string message(scenario.status().message());
+    bool namesTheLine = message.find(row.where) != std::string::npos ||
+                        (std::string(row.where) == "no expectation" &&
+                         message.find("without expectation") != std::string::npos);
+    CHECK_TEXT(namesTheLine, message.c_str());
   }
 }
 
 TEST(ControlStates, TemplatesParametersDryRunAndRevert) {
   Options options;
-  ControlState state = ControlState::founded({1});
-  auto ask = [&](Json change, const std::string& id) {
+  ControlState state = ControlState::initial({1});
+  auto applyChange = [&](Json change, const std::string& id) {
     change["basedOn"] = versionText(state.sections().setup);
     return state.apply(change.dump(), id, {1}, options);
   };
-  Json first = Json::parse(firstSetupBody("hutline", "1.1"));
-  CHECK(ask(first, "1").outcome == ChangeOutcome::kDone);
+  Json first = Json::parse(initialSetupChange("hutline", "1.1"));
+  CHECK(applyChange(first, "1").outcome == ChangeOutcome::kDone);
   std::string before = state.setupText();
   std::string version = versionText(state.sections().setup);
   // A dry run reports what the change would do, without naming keys, and changes nothing.
   Json change{{"kind", "parameters"}, {"tenant", "rescue"}, {"parameters", {{"rank", 2}}}};
   change["dryRun"] = true;
-  ChangeReply would = ask(change, "2");
-  CHECK(would.outcome == ChangeOutcome::kWould);
-  CHECK(would.detail.find("/tenants/rescue/parameters/rank") != std::string::npos);
+  ChangeReply dryRunReply = applyChange(change, "2");
+  CHECK(dryRunReply.outcome == ChangeOutcome::kDryRun);
+  CHECK(dryRunReply.detail.find("/tenants/rescue/parameters/rank") != std::string::npos);
   CHECK(state.setupText() == before);
   change.erase("dryRun");
-  CHECK(ask(change, "3").outcome == ChangeOutcome::kDone);
+  CHECK(applyChange(change, "3").outcome == ChangeOutcome::kDone);
   Setup now = *readSetup(state.setupText());
   CHECK_EQUAL(2, now.tenants[{"rescue"}].rank);
-  CHECK(now.tenants[{"rescue"}].wall == Wall{"wall-rescue"});  // the other parameters are unchanged
+  CHECK(now.tenants[{"rescue"}].cacheDomain ==
+        CacheDomain{"wall-rescue"});  // the other parameters are unchanged
   // A template that would make its tenants invalid is rejected; the error names the field.
   Json made{{"kind", "template"}, {"template", "steady"}, {"made", {{"class", "none"}}}};
-  STRCMP_EQUAL("[templates][steady][class]", ask(made, "4").field.c_str());
+  STRCMP_EQUAL("[templates][steady][class]", applyChange(made, "4").field.c_str());
   made["made"] = {{"class", "trail"}};
-  CHECK(ask(made, "5").outcome == ChangeOutcome::kDone);
+  CHECK(applyChange(made, "5").outcome == ChangeOutcome::kDone);
   STRCMP_EQUAL(
       "[tenant]",
-      ask({{"kind", "parameters"}, {"tenant", "nobody"}, {"parameters", Json::object()}}, "6")
+      applyChange({{"kind", "parameters"}, {"tenant", "nobody"}, {"parameters", Json::object()}},
+                  "6")
           .field.c_str());
   // A revert to the first version has its content under a new version; withdrawn keys stay so.
   std::string digest = keyDigest(exampleKey("rescue")).value;
   CHECK(state.apply(Json{{"kind", "key-withdraw"}, {"digest", digest}}.dump(), "7", {1}, options)
             .outcome == ChangeOutcome::kDone);
-  STRCMP_EQUAL("[to]", ask({{"kind", "revert"}, {"to", "9.9"}}, "8").field.c_str());
+  STRCMP_EQUAL("[to]", applyChange({{"kind", "revert"}, {"to", "9.9"}}, "8").field.c_str());
   SectionVersion latest = state.sections().setup;
-  CHECK(ask({{"kind", "revert"}, {"to", version}}, "9").outcome == ChangeOutcome::kDone);
+  CHECK(applyChange({{"kind", "revert"}, {"to", version}}, "9").outcome == ChangeOutcome::kDone);
   CHECK(state.setupText() == before);
   CHECK(state.sections().setup > latest);
   CHECK(readKeys(state.keysText())->withdrawn.contains({digest}));
--- a/tests/weight_namings_test.cc
+++ b/tests/weight_namings_test.cc
@@ -13,51 +13,53 @@
 const ModelName kModel{"llm"};
 
 /// The target versions of one model, recorded when they were set.
-struct Namings {
-  WeightNamings kept{seconds(12)};
-  void name(std::uint64_t version, double time) { note(version, at(time), time); }
-  void note(std::uint64_t version, MonotonicTime since, double now) {
-    kept.note({{kModel, {version}}}, since, at(now));
+struct TargetHistoryFixture {
+  WeightTargetHistory history{seconds(12)};
+  void setTarget(std::uint64_t version, double time) { record(version, at(time), time); }
+  void record(std::uint64_t version, MonotonicTime since, double now) {
+    history.record({{kModel, {version}}}, since, at(now));
+  }
+  MonotonicTime since(std::uint64_t version) const {
+    return history.outdatedSince(kModel, {version});
   }
-  MonotonicTime since(std::uint64_t version) const { return kept.outdatedSince(kModel, {version}); }
 };
 
 }  // namespace
 
-TEST_GROUP(WeightNamings){};
+TEST_GROUP(WeightTargetHistory){};
 
-TEST(WeightNamings, AVersionIsOutdatedFromTheFirstNewerTarget) {
-  Namings namings;
-  namings.name(2, 1);
-  namings.name(3, 5);
-  namings.name(7, 9);
-  namings.name(7, 11);  // repeated
+TEST(WeightTargetHistory, AVersionIsOutdatedFromTheFirstNewerTarget) {
+  TargetHistoryFixture namings;
+  namings.setTarget(2, 1);
+  namings.setTarget(3, 5);
+  namings.setTarget(7, 9);
+  namings.setTarget(7, 11);  // repeated
   CHECK(namings.since(1) == at(1));
   CHECK(namings.since(2) == at(5));
   CHECK(namings.since(3) == at(9));
   CHECK(namings.since(5) == at(9));
   CHECK(namings.since(7) == kForever);
-  CHECK(namings.kept.outdatedSince({"other"}, {1}) == kForever);
+  CHECK(namings.history.outdatedSince({"other"}, {1}) == kForever);
 }
 
-TEST(WeightNamings, AnUnknownTimeCountsAsTheEarliest) {
-  Namings namings;
-  namings.note(4, kNever, 3);
+TEST(WeightTargetHistory, AnUnknownTimeCountsAsTheEarliest) {
+  TargetHistoryFixture namings;
+  namings.record(4, kNever, 3);
   CHECK(namings.since(1) == kNever);
   CHECK(namings.since(3) == kNever);
   CHECK(namings.since(4) == kForever);
   // Recorded late, with a time before that of the previous target: times never decrease.
-  namings.name(5, 20);
-  namings.note(6, at(15), 21);
+  namings.setTarget(5, 20);
+  namings.record(6, at(15), 21);
   CHECK(namings.since(5) == at(20));
 }
 
-TEST(WeightNamings, HundredsOfTargetsAreMergedWithoutExtendingTheGraceTime) {
-  Namings namings;
+TEST(WeightTargetHistory, HundredsOfTargetsAreMergedWithoutExtendingTheGraceTime) {
+  TargetHistoryFixture namings;
   for (std::uint64_t version = 2; version <= 500; ++version) {
     double now = 0.01 * static_cast<double>(version);
-    namings.name(version, now);
-    CHECK(namings.kept.kept(kModel) <= 64);
+    namings.setTarget(version, now);
+    CHECK(namings.history.retainedCount(kModel) <= 64);
     CHECK(namings.since(1) <= at(0.02));
     CHECK(namings.since(version - 1) == at(now));
   }
@@ -65,60 +67,60 @@
     CHECK(namings.since(version) <= at(0.01 * static_cast<double>(version + 1)));
 }
 
-TEST(WeightNamings, ExpiredTargetsAreDroppedButStillApply) {
-  Namings namings;
+TEST(WeightTargetHistory, ExpiredTargetsAreDroppedButStillApply) {
+  TargetHistoryFixture namings;
   for (std::uint64_t version = 2; version <= 100; ++version)
-    namings.name(version, 10.0 * static_cast<double>(version));
-  CHECK(namings.kept.kept(kModel) <= 4);
+    namings.setTarget(version, 10.0 * static_cast<double>(version));
+  CHECK(namings.history.retainedCount(kModel) <= 4);
   CHECK(namings.since(1) <= at(1000 - 12));
   CHECK(namings.since(98) == at(990));
   CHECK(namings.since(99) == at(1000));
 }
 
-TEST(WeightNamings, PostponingShiftsTheTimesOfAllTargets) {
-  Namings namings;
-  namings.note(2, kNever, 1);
-  namings.name(3, 4);
-  namings.kept.postpone(seconds(5));
+TEST(WeightTargetHistory, PostponingShiftsTheTimesOfAllTargets) {
+  TargetHistoryFixture namings;
+  namings.record(2, kNever, 1);
+  namings.setTarget(3, 4);
+  namings.history.postpone(seconds(5));
   CHECK(namings.since(1) == kNever);
   CHECK(namings.since(2) == at(9));
 }
 
-TEST(WeightNamings, RestartingMovesEarlierTargetsToTheMoment) {
-  Namings namings;
-  namings.note(2, kNever, 1);
-  namings.name(3, 4);
-  namings.name(4, 30);
-  namings.kept.restart(at(20));
+TEST(WeightTargetHistory, RestartingMovesEarlierTargetsToTheMoment) {
+  TargetHistoryFixture namings;
+  namings.record(2, kNever, 1);
+  namings.setTarget(3, 4);
+  namings.setTarget(4, 30);
+  namings.history.restartBefore(at(20));
   CHECK(namings.since(1) == at(20));
   CHECK(namings.since(2) == at(20));
   CHECK(namings.since(3) == at(30));
-  namings.kept.restart(at(10));  // an earlier failure changes nothing
+  namings.history.restartBefore(at(10));  // an earlier failure changes nothing
   CHECK(namings.since(2) == at(20));
 }
 
 TEST_GROUP(CoresLives){};
 
 TEST(CoresLives, ANewMemberIdAtAKnownAddressIsARestart) {
-  CoreLives lives;
+  ControlRestartDetector lives;
   MemberRecord first, second;
   first.address = {"10.0.0.1:1"};
   second.address = {"10.0.0.2:1"};
   first.member = {11};
   second.member = {21};
-  CHECK_FALSE(lives.restarted({}));
-  CHECK_FALSE(lives.restarted({first}));
-  CHECK_FALSE(lives.restarted({first, second}));  // discovered later, not restarted
-  CHECK_FALSE(lives.restarted({second}));         // not reported for a while
-  CHECK_FALSE(lives.restarted({first, second}));
+  CHECK_FALSE(lives.detectRestart({}));
+  CHECK_FALSE(lives.detectRestart({first}));
+  CHECK_FALSE(lives.detectRestart({first, second}));  // discovered later, not restarted
+  CHECK_FALSE(lives.detectRestart({second}));         // not reported for a while
+  CHECK_FALSE(lives.detectRestart({first, second}));
   MemberRecord again = first;
   again.member = {12};
-  CHECK_TRUE(lives.restarted({again, second}));
-  CHECK_FALSE(lives.restarted({first, again, second}));  // the former one is still reported
+  CHECK_TRUE(lives.detectRestart({again, second}));
+  CHECK_FALSE(lives.detectRestart({first, again, second}));  // the former one is still reported
 }
 
 TEST_GROUP(LeaderSilences) {
-  LeaderSilence silence;
+  LeaderOutage silence;
   /// Ticks every 50 ms with one leader's lease proofs. Returns the total of the periods without a
   /// leader that a new leader ended.
   Duration run(double from, double to, double lastProof, std::uint64_t epoch) {
--- a/tests/zone_relay_test.cc
+++ b/tests/zone_relay_test.cc
@@ -27,7 +27,7 @@
   return routers;
 }
 
-bool holds(const std::vector<Address>& addresses, const MemberRecord& record) {
+bool contains(const std::vector<Address>& addresses, const MemberRecord& record) {
   return std::ranges::find(addresses, record.address) != addresses.end();
 }
 
@@ -40,24 +40,24 @@
   RelayTargets targets = relayTargets(routers, routers[0], 0);
   LONGS_EQUAL(9 + 2, targets.direct.size());
   LONGS_EQUAL(1, targets.relays.size());
-  CHECK(!holds(targets.direct, routers[0]) && !holds(targets.relays, routers[0]));
-  for (std::size_t index : {1, 9, 16, 17}) CHECK(holds(targets.direct, routers[index]));
+  CHECK(!contains(targets.direct, routers[0]) && !contains(targets.relays, routers[0]));
+  for (std::size_t index : {1, 9, 16, 17}) CHECK(contains(targets.direct, routers[index]));
 }
 
 TEST(ZoneRelays, DirectReceiversAndRelayedOnesCoverEachRouterOnce) {
   auto routers = fleet();
   for (const auto& sender : routers) {
     RelayTargets targets = relayTargets(routers, sender, 3);
-    std::vector<Address> told = targets.direct;
+    std::vector<Address> receivers = targets.direct;
     for (const auto& relay : targets.relays) {
-      auto by = std::ranges::find(routers, relay, &MemberRecord::address);
-      auto peers = zonePeers(routers, *by);
-      told.push_back(relay);
-      told.insert(told.end(), peers.begin(), peers.end());
+      auto relayRouter = std::ranges::find(routers, relay, &MemberRecord::address);
+      auto peers = zonePeers(routers, *relayRouter);
+      receivers.push_back(relay);
+      receivers.insert(receivers.end(), peers.begin(), peers.end());
     }
-    LONGS_EQUAL(routers.size() - 1, told.size());
-    LONGS_EQUAL(routers.size() - 1, std::set<Address>(told.begin(), told.end()).size());
-    CHECK(!holds(told, sender));
+    LONGS_EQUAL(routers.size() - 1, receivers.size());
+    LONGS_EQUAL(routers.size() - 1, std::set<Address>(receivers.begin(), receivers.end()).size());
+    CHECK(!contains(receivers, sender));
   }
 }
 
@@ -81,22 +81,23 @@
 }
 
 TEST(ZoneRelays, OnlyCopiesForRelaysAreMarked) {
-  SpreadBroadcast spread;
+  SpreadBroadcast broadcasts;
   Outbox outbox;
   RelayTargets targets{{{"10.0.0.1:1"}}, {{"10.0.0.2:1"}}};
   std::vector<Message> messages;
-  messages.emplace_back(EngineUse{{7}, {}, {}, {}});
-  messages.emplace_back(UsageNotification{{7}, {}, {}});
+  messages.emplace_back(EngineUsageNotification{{7}, {}, {}, {}});
+  messages.emplace_back(LinkUsageNotification{{7}, {}, {}});
   messages.emplace_back(PrefixBlockUpdate{});
-  spread.beginRelayed(targets, std::move(messages), seconds(0.1), at(1));
-  spread.tick(at(1), outbox);
+  broadcasts.beginRelayed(targets, std::move(messages), seconds(0.1), at(1));
+  broadcasts.tick(at(1), outbox);
   int marked = 0, plain = 0;
-  for (const auto& told : taken<Broadcast>(outbox.take())) {
+  for (const auto& broadcast : commandsOf<Broadcast>(outbox.takeCommands())) {
     bool relay = false;
-    if (auto* use = std::get_if<EngineUse>(&*told.message)) relay = use->relay;
-    else if (auto* usage = std::get_if<UsageNotification>(&*told.message)) relay = usage->relay;
-    else relay = std::get<PrefixBlockUpdate>(*told.message).relay;
-    CHECK(told.to == (relay ? targets.relays : targets.direct));
+    if (auto* use = std::get_if<EngineUsageNotification>(&*broadcast.message)) relay = use->relay;
+    else if (auto* usage = std::get_if<LinkUsageNotification>(&*broadcast.message))
+      relay = usage->relay;
+    else relay = std::get<PrefixBlockUpdate>(*broadcast.message).relay;
+    CHECK(broadcast.to == (relay ? targets.relays : targets.direct));
     ++(relay ? marked : plain);
   }
   LONGS_EQUAL(3, marked);
