--- a/src/app/hollow_command.cc
+++ b/src/app/hollow_command.cc
@@ -3,7 +3,7 @@
 #include <cstdio>
 
 #include "app/commands.h"
-#include "sim/hollow_measures.h"
+#include "sim/fleet_measurements.h"
 
 namespace peppergate {
 
--- a/src/app/http_once.cc
+++ b/src/app/http_request.cc
@@ -1,4 +1,4 @@
-#include "app/http_once.h"
+#include "app/http_request.h"
 
 namespace peppergate {
 
--- a/src/app/place_command.cc
+++ b/src/app/place_command.cc
@@ -4,7 +4,7 @@
 #include <sstream>
 
 #include "app/commands.h"
-#include "place/place.h"
+#include "place/placement_solver.h"
 #include "wire/json_fields.h"
 
 namespace peppergate {
--- a/src/app/rehearse_command.cc
+++ b/src/app/rehearse_command.cc
@@ -8,7 +8,7 @@
 #include <thread>
 
 #include "app/commands.h"
-#include "sim/random_day.h"
+#include "sim/random_schedule.h"
 #include "sim/runner.h"
 
 namespace peppergate {
--- a/src/app/schedule_rehearse_command.cc
+++ b/src/app/schedule_rehearse_command.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "app/commands.h"
-#include "sim/mixed_day.h"
+#include "sim/mixed_schedule.h"
 
 namespace peppergate {
 namespace {
--- a/src/app/setup_command.cc
+++ b/src/app/setup_command.cc
@@ -7,11 +7,11 @@
 #include <thread>
 
 #include "app/commands.h"
-#include "app/http_once.h"
+#include "app/http_request.h"
 #include "core/digest.h"
 #include "core/example_setup.h"
 #include "core/schemas.h"
-#include "io/fresh_number.h"
+#include "io/random_identity.h"
 #include "wire/json_fields.h"
 
 namespace peppergate {
--- a/src/core/gate.cc
+++ b/src/core/admission_controller.cc
@@ -1,4 +1,4 @@
-#include "core/gate.h"
+#include "core/admission_controller.h"
 
 #include <algorithm>
 #include <array>
--- a/src/core/core_node.h
+++ b/src/core/core_node.h
@@ -9,7 +9,7 @@
 #include "core/leadership.h"
 #include "core/operator_handler.h"
 #include "core/read_only_leader.h"
-#include "engines/engine_duties.h"
+#include "engines/engine_manager.h"
 
 namespace peppergate {
 
--- a/src/core/engine_watch.h
+++ b/src/core/engine_watch.h
@@ -7,9 +7,9 @@
 
 #include "core/engine_list.h"
 #include "core/follower.h"
+#include "core/hash_ring.h"
 #include "core/membership.h"
 #include "core/prefix_index.h"
-#include "core/ring.h"
 
 namespace peppergate {
 
--- a/src/core/fetch_desk.cc
+++ b/src/core/fetch_planner.cc
@@ -1,4 +1,4 @@
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/fetch_desk.h
+++ b/src/core/fetch_planner.h
@@ -7,7 +7,7 @@
 
 #include "core/engine_list.h"
 #include "core/fetch_plan.h"
-#include "core/link_notes.h"
+#include "core/link_usage_table.h"
 #include "core/outbox.h"
 
 namespace peppergate {
--- a/src/core/fetch_join.cc
+++ b/src/core/fetch_reservations.cc
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 
 namespace peppergate {
 namespace {
--- a/src/core/ring.cc
+++ b/src/core/hash_ring.cc
@@ -1,4 +1,4 @@
-#include "core/ring.h"
+#include "core/hash_ring.h"
 
 #include <algorithm>
 
--- a/src/core/leadership.h
+++ b/src/core/leadership.h
@@ -146,7 +146,7 @@
   void abandonHopelessElection(MonotonicTime now, Outbox& outbox);
   /// Whether the state may be shown to others: it is durable, even if this leader is lost.
   bool publishedIsDurable() const;
-  // Shutdown, see leadership_leaving.cc.
+  // Shutdown, see leadership_shutdown.cc.
   bool leaving() const { return leavingSince_ != kForever; }
   bool graceTimeIsOver(MonotonicTime now) const;
   /// Whether a view gives this core a vote or a replica of the state.
--- a/src/core/link_notes.cc
+++ b/src/core/link_usage_table.cc
@@ -1,4 +1,4 @@
-#include "core/link_notes.h"
+#include "core/link_usage_table.h"
 
 #include <algorithm>
 
--- a/src/core/prefix_index.h
+++ b/src/core/prefix_index.h
@@ -5,8 +5,8 @@
 #include <set>
 #include <vector>
 
+#include "core/hash_ring.h"
 #include "core/membership.h"
-#include "core/ring.h"
 
 namespace peppergate {
 
--- a/src/core/streams.h
+++ b/src/core/streams.h
@@ -6,11 +6,11 @@
 #include <optional>
 #include <vector>
 
-#include "core/budget.h"
+#include "core/admission_controller.h"
 #include "core/digest.h"
 #include "core/engine_watch.h"
-#include "core/fetch_desk.h"
-#include "core/gate.h"
+#include "core/fetch_planner.h"
+#include "core/retry_budget.h"
 
 namespace peppergate {
 
--- a/src/engines/lister.cc
+++ b/src/engines/engine_discovery.cc
@@ -1,4 +1,4 @@
-#include "engines/lister.h"
+#include "engines/engine_discovery.h"
 
 #include <algorithm>
 
--- a/src/engines/lister.h
+++ b/src/engines/engine_discovery.h
@@ -8,7 +8,7 @@
 #include "core/outbox.h"
 #include "core/random.h"
 #include "engines/engine.h"
-#include "engines/roster_text.h"
+#include "engines/engine_list_codec.h"
 
 namespace peppergate {
 
--- a/src/engines/roster_text.cc
+++ b/src/engines/engine_list_codec.cc
@@ -1,4 +1,4 @@
-#include "engines/roster_text.h"
+#include "engines/engine_list_codec.h"
 
 #include <algorithm>
 
--- a/src/engines/engine_duties.h
+++ b/src/engines/engine_manager.h
@@ -1,7 +1,7 @@
 #pragma once
 // Engine management on a control node: the leader discovers engines and rolls out target weights.
 #include "core/control_state.h"
-#include "engines/lister.h"
+#include "engines/engine_discovery.h"
 #include "engines/rollout.h"
 
 namespace peppergate {
--- a/src/engines/engine_outliers.cc
+++ b/src/engines/engine_outliers.cc
@@ -1,7 +1,7 @@
 // The outlier detection of EngineRegistry: ejects failing engines for a limited time.
 #include <algorithm>
 
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 
 namespace peppergate {
 namespace {
--- a/src/engines/engine_book.cc
+++ b/src/engines/engine_registry.cc
@@ -1,5 +1,5 @@
 // The registry's entries, its load estimates, and the reports that routers exchange.
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/engines/rollout.h
+++ b/src/engines/rollout.h
@@ -9,8 +9,8 @@
 
 #include "core/control_state.h"
 #include "core/outbox.h"
-#include "engines/lister.h"
-#include "engines/weight_namings.h"
+#include "engines/engine_discovery.h"
+#include "engines/weight_target_history.h"
 
 namespace peppergate {
 
--- a/src/engines/weight_namings.cc
+++ b/src/engines/weight_target_history.cc
@@ -1,4 +1,4 @@
-#include "engines/weight_namings.h"
+#include "engines/weight_target_history.h"
 
 #include <algorithm>
 
--- a/src/history/assigned_versions.h
+++ b/src/history/assigned_versions.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "history/history.h"
-#include "history/verdict.h"
+#include "history/violation.h"
 
 namespace peppergate::history {
 
--- a/src/history/chain_orders.cc
+++ b/src/history/chain_evidence.cc
@@ -1,4 +1,4 @@
-#include "history/chain_orders.h"
+#include "history/chain_evidence.h"
 
 #include <algorithm>
 #include <map>
--- a/src/history/chain_orders.h
+++ b/src/history/chain_evidence.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "history/history.h"
-#include "history/verdict.h"
+#include "history/violation.h"
 
 namespace peppergate::history {
 
--- a/src/history/version_chain.cc
+++ b/src/history/version_chain.cc
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "history/chain_orders.h"
+#include "history/chain_evidence.h"
 
 namespace peppergate::history {
 namespace {
--- a/src/io/daemon.cc
+++ b/src/io/daemon.cc
@@ -4,7 +4,7 @@
 #include <signal.h>
 
 #include "core/front_node.h"
-#include "io/fresh_number.h"
+#include "io/random_identity.h"
 #include "requests/router_node.h"
 
 namespace peppergate {
--- a/src/io/daemon.h
+++ b/src/io/daemon.h
@@ -10,9 +10,9 @@
 
 #include "core/core_node.h"
 #include "io/dialect_endpoints.h"
-#include "io/disk_task.h"
-#include "io/loop_lag.h"
-#include "io/member_hub.h"
+#include "io/disk_writer.h"
+#include "io/event_loop_lag.h"
+#include "io/member_transport.h"
 #include "io/web_client.h"
 #include "io/web_server.h"
 
--- a/src/io/disk_task.cc
+++ b/src/io/disk_writer.cc
@@ -1,4 +1,4 @@
-#include "io/disk_task.h"
+#include "io/disk_writer.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/src/io/loop.cc
+++ b/src/io/event_loop.cc
@@ -1,4 +1,4 @@
-#include "io/loop.h"
+#include "io/event_loop.h"
 
 #include <event2/thread.h>
 #include <time.h>
--- a/src/io/http_client_connection.h
+++ b/src/io/http_client_connection.h
@@ -5,8 +5,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "io/http_answer.h"
 #include "io/http_client.h"
+#include "io/http_response.h"
 #include "io/http_socket.h"
 
 namespace peppergate {
--- a/src/io/http_listener.cc
+++ b/src/io/http_listener.cc
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #include "io/http_listener_connection.h"
-#include "io/member_hub.h"
+#include "io/member_transport.h"
 
 namespace peppergate {
 namespace {
--- a/src/io/http_listener.h
+++ b/src/io/http_listener.h
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "io/dialect.h"
-#include "io/loop.h"
+#include "io/event_loop.h"
 
 namespace peppergate {
 
--- a/src/io/http_answer.cc
+++ b/src/io/http_response.cc
@@ -1,4 +1,4 @@
-#include "io/http_answer.h"
+#include "io/http_response.h"
 
 #include <algorithm>
 
--- a/src/io/http_socket.cc
+++ b/src/io/http_socket.cc
@@ -10,7 +10,7 @@
 
 #include <array>
 
-#include "io/member_hub.h"
+#include "io/member_transport.h"
 
 namespace peppergate {
 namespace {
--- a/src/io/member_hub.cc
+++ b/src/io/member_transport.cc
@@ -1,4 +1,4 @@
-#include "io/member_hub.h"
+#include "io/member_transport.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
--- a/src/io/member_hub.h
+++ b/src/io/member_transport.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "core/outbox.h"
-#include "io/loop.h"
+#include "io/event_loop.h"
 #include "wire/frame.h"
 
 namespace peppergate {
--- a/src/io/fresh_number.cc
+++ b/src/io/random_identity.cc
@@ -1,4 +1,4 @@
-#include "io/fresh_number.h"
+#include "io/random_identity.h"
 
 #include <glog/logging.h>
 #include <sys/random.h>
--- a/src/io/web_client.h
+++ b/src/io/web_client.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "core/outbox.h"
-#include "io/loop.h"
+#include "io/event_loop.h"
 
 namespace peppergate {
 
--- a/src/model/model_world.h
+++ b/src/model/model_world.h
@@ -12,7 +12,7 @@
 #include "core/core_node.h"
 #include "model/model_options.h"
 #include "model/operator_script.h"
-#include "model/safety_judge.h"
+#include "model/safety_checker.h"
 
 namespace peppergate::model {
 
--- a/src/model/operator_script.h
+++ b/src/model/operator_script.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/outbox.h"
-#include "model/safety_judge.h"
+#include "model/safety_checker.h"
 
 namespace peppergate::model {
 
--- a/src/model/safety_judge.cc
+++ b/src/model/safety_checker.cc
@@ -1,4 +1,4 @@
-#include "model/safety_judge.h"
+#include "model/safety_checker.h"
 
 #include <algorithm>
 
--- a/src/model/search.cc
+++ b/src/model/search.cc
@@ -6,7 +6,7 @@
 #include <mutex>
 #include <thread>
 
-#include "model/state_set.h"
+#include "model/visited_states.h"
 
 namespace peppergate::model {
 namespace {
--- a/src/place/place.cc
+++ b/src/place/placement_solver.cc
@@ -1,4 +1,4 @@
-#include "place/place.h"
+#include "place/placement_solver.h"
 
 #include <z3++.h>
 
--- a/src/prompts/survey.cc
+++ b/src/prompts/candidate_search.cc
@@ -1,5 +1,5 @@
 // The part of Placement that selects candidate engines and computes their costs.
-#include "prompts/survey.h"
+#include "prompts/candidate_search.h"
 
 #include <algorithm>
 
--- a/src/prompts/survey.h
+++ b/src/prompts/candidate_search.h
@@ -1,13 +1,13 @@
 #pragma once
 // The working data of Placement for one request: its prompt under each weights version, and the
-// candidate engines. Private to placement.cc and survey.cc.
+// candidate engines. Private to placement.cc and candidate_search.cc.
 #include <vector>
 
 #include "core/engine_list.h"
+#include "prompts/cache_salt.h"
 #include "prompts/cost.h"
 #include "prompts/fetch_setup.h"
 #include "prompts/placement.h"
-#include "prompts/salt.h"
 
 namespace peppergate {
 
--- a/src/prompts/placement.cc
+++ b/src/prompts/placement.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "prompts/survey.h"
+#include "prompts/candidate_search.h"
 
 namespace peppergate {
 namespace {
--- a/src/prompts/placement.h
+++ b/src/prompts/placement.h
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 #include "core/random.h"
-#include "engines/engine_book.h"
-#include "engines/weight_namings.h"
-#include "prompts/part_index.h"
-#include "prompts/reading_speed.h"
+#include "engines/engine_registry.h"
+#include "engines/weight_target_history.h"
+#include "prompts/prefill_speed_estimator.h"
+#include "prompts/prefix_block_index.h"
 #include "requests/events.h"
 #include "requests/placer.h"
 
--- a/src/prompts/reading_speed.cc
+++ b/src/prompts/prefill_speed_estimator.cc
@@ -1,4 +1,4 @@
-#include "prompts/reading_speed.h"
+#include "prompts/prefill_speed_estimator.h"
 
 #include <algorithm>
 
--- a/src/prompts/part_index.cc
+++ b/src/prompts/prefix_block_index.cc
@@ -1,4 +1,4 @@
-#include "prompts/part_index.h"
+#include "prompts/prefix_block_index.h"
 
 #include <algorithm>
 
--- a/src/prompts/part_watch.cc
+++ b/src/prompts/prefix_cache_watcher.cc
@@ -1,11 +1,11 @@
-#include "prompts/part_watch.h"
+#include "prompts/prefix_cache_watcher.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
+#include "core/broadcast_interval.h"
 #include "core/engine_list.h"
-#include "core/fleet_pace.h"
 
 namespace peppergate {
 namespace {
--- a/src/prompts/part_watch.h
+++ b/src/prompts/prefix_cache_watcher.h
@@ -4,12 +4,12 @@
 #include <map>
 #include <vector>
 
+#include "core/hash_ring.h"
 #include "core/membership.h"
 #include "core/outbox.h"
-#include "core/ring.h"
 #include "core/spread_broadcast.h"
-#include "engines/engine_book.h"
-#include "prompts/part_index.h"
+#include "engines/engine_registry.h"
+#include "prompts/prefix_block_index.h"
 
 namespace peppergate {
 
--- a/src/requests/follower_facts.h
+++ b/src/requests/follower_fleet_view.h
@@ -2,7 +2,7 @@
 // View of the fleet backed by a router's follower and membership.
 #include "core/follower.h"
 #include "core/membership.h"
-#include "requests/fleet_facts.h"
+#include "requests/fleet_view.h"
 
 namespace peppergate {
 
--- a/src/requests/placer.h
+++ b/src/requests/placer.h
@@ -16,7 +16,7 @@
 struct PlacementDecision;                  // prompts/placement.h
 struct PlacementRejection;                 // prompts/placement.h
 struct Weights;                            // core/control_state.h
-enum class AttemptOutcome : std::uint8_t;  // engines/engine_book.h
+enum class AttemptOutcome : std::uint8_t;  // engines/engine_registry.h
 
 /// Chooses the engine of each attempt.
 class Placer {
--- a/src/requests/requests.cc
+++ b/src/requests/request_router.cc
@@ -1,4 +1,4 @@
-#include "requests/requests.h"
+#include "requests/request_router.h"
 
 #include <algorithm>
 
--- a/src/requests/requests.h
+++ b/src/requests/request_router.h
@@ -6,7 +6,7 @@
 #include "core/options.h"
 #include "core/outbox.h"
 #include "core/random.h"
-#include "requests/fleet_facts.h"
+#include "requests/fleet_view.h"
 #include "requests/placer.h"
 
 namespace peppergate {
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -4,12 +4,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 #include "prompts/placement.h"
-#include "requests/answer_times.h"
 #include "requests/attempt_budget.h"
+#include "requests/request_router.h"
 #include "requests/request_rules.h"
-#include "requests/requests.h"
+#include "requests/response_timer.h"
 
 namespace peppergate {
 
@@ -75,7 +75,7 @@
 struct RequestRouter::State {
   explicit State(RequestDependencies dependencies) : dependencies(dependencies) {}
 
-  // requests.cc
+  // request_router.cc
   void handleRequest(RequestArrived arrival, MonotonicTime now, Outbox& outbox);
   std::variant<AttemptPlan, PlanFailure> planAttempt(ActiveRequest& request, MonotonicTime now,
                                                      Outbox& outbox);
@@ -90,7 +90,7 @@
   void cancelAttempt(ActiveRequest& request, MonotonicTime now, Outbox& outbox);
   void handleCancelled(RequestId id, MonotonicTime now, Outbox& outbox);
 
-  // request_turns.cc
+  // attempt_events.cc
   void handleAttemptEvent(AttemptEvent event, MonotonicTime now, Outbox& outbox);
   void handleHead(ActiveRequest& request, const AttemptEvent& event, MonotonicTime now,
                   Outbox& outbox);
@@ -116,7 +116,7 @@
                Outbox& outbox);
   void resume(ActiveRequest& request, MonotonicTime now, Outbox& outbox);
 
-  // request_times.cc
+  // request_deadlines.cc
   void startDraining(MonotonicTime now);
   void rejectBeforeExit(MonotonicTime now, Outbox& outbox);
   void scheduleCheck(ActiveRequest& request);
--- a/src/requests/answer_times.cc
+++ b/src/requests/response_timer.cc
@@ -1,4 +1,4 @@
-#include "requests/answer_times.h"
+#include "requests/response_timer.h"
 
 namespace peppergate {
 namespace {
--- a/src/requests/router_node.cc
+++ b/src/requests/router_node.cc
@@ -1,6 +1,6 @@
 #include "requests/router_node.h"
 
-#include "core/fleet_pace.h"
+#include "core/broadcast_interval.h"
 
 namespace peppergate {
 namespace {
--- a/src/requests/router_node.h
+++ b/src/requests/router_node.h
@@ -4,16 +4,16 @@
 #include <memory>
 
 #include "core/core_node.h"
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 #include "core/spread_broadcast.h"
-#include "engines/engine_book.h"
-#include "engines/lister.h"
-#include "prompts/part_watch.h"
+#include "engines/engine_discovery.h"
+#include "engines/engine_registry.h"
 #include "prompts/placement.h"
-#include "requests/core_lives.h"
-#include "requests/follower_facts.h"
-#include "requests/leader_silence.h"
-#include "requests/requests.h"
+#include "prompts/prefix_cache_watcher.h"
+#include "requests/control_restart_detector.h"
+#include "requests/follower_fleet_view.h"
+#include "requests/leader_outage.h"
+#include "requests/request_router.h"
 
 namespace peppergate {
 
--- a/src/sim/hollow_measures.cc
+++ b/src/sim/fleet_measurements.cc
@@ -1,5 +1,5 @@
 // Measurements of a whole fleet.
-#include "sim/hollow_measures.h"
+#include "sim/fleet_measurements.h"
 
 #include <malloc.h>
 #include <unistd.h>
--- a/src/sim/hollow_measures.h
+++ b/src/sim/fleet_measurements.h
@@ -1,6 +1,6 @@
 #pragma once
 // Measurements of a whole fleet and of single tables, each reported as one JSON object.
-#include "sim/hollow_fleet.h"
+#include "sim/measurement_fleet.h"
 
 namespace peppergate {
 
--- a/src/sim/loss_ledger.cc
+++ b/src/sim/machine_loss_tracker.cc
@@ -1,4 +1,4 @@
-#include "sim/loss_ledger.h"
+#include "sim/machine_loss_tracker.h"
 
 #include <algorithm>
 
--- a/src/sim/hollow_fleet.cc
+++ b/src/sim/measurement_fleet.cc
@@ -1,5 +1,5 @@
 // The members, clock and network of the measurement fleet.
-#include "sim/hollow_fleet.h"
+#include "sim/measurement_fleet.h"
 
 #include <time.h>
 
--- a/src/sim/hollow_outside.cc
+++ b/src/sim/measurement_fleet_environment.cc
@@ -3,7 +3,7 @@
 
 #include "core/digest.h"
 #include "core/example_setup.h"
-#include "sim/hollow_fleet.h"
+#include "sim/measurement_fleet.h"
 
 namespace peppergate {
 namespace {
--- a/src/sim/mixed_day.cc
+++ b/src/sim/mixed_schedule.cc
@@ -1,11 +1,11 @@
-#include "sim/mixed_day.h"
+#include "sim/mixed_schedule.h"
 
 #include <algorithm>
 #include <sstream>
 
 #include "sim/router_scenario.h"
 #include "sim/runner.h"
-#include "sim/shrink.h"
+#include "sim/schedule_shrinker.h"
 
 namespace peppergate {
 namespace {
--- a/src/sim/mixed_day.h
+++ b/src/sim/mixed_schedule.h
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "sim/schedule_drawer.h"
+#include "sim/schedule_generator.h"
 
 namespace peppergate {
 
--- a/src/sim/random_day.cc
+++ b/src/sim/random_schedule.cc
@@ -1,11 +1,11 @@
-#include "sim/random_day.h"
+#include "sim/random_schedule.h"
 
 #include <algorithm>
 #include <array>
 #include <cstdio>
 
 #include "core/random.h"
-#include "sim/shrink.h"
+#include "sim/schedule_shrinker.h"
 
 namespace peppergate {
 namespace {
--- a/src/sim/scenario_reader.h
+++ b/src/sim/scenario_reader.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/types.h"
-#include "sim/scenario_words.h"
+#include "sim/scenario_vocabulary.h"
 
 namespace peppergate {
 
--- a/src/sim/scenario_words.cc
+++ b/src/sim/scenario_vocabulary.cc
@@ -1,4 +1,4 @@
-#include "sim/scenario_words.h"
+#include "sim/scenario_vocabulary.h"
 
 #include <algorithm>
 #include <array>
--- a/src/sim/schedule_drawer.cc
+++ b/src/sim/schedule_generator.cc
@@ -1,4 +1,4 @@
-#include "sim/schedule_drawer.h"
+#include "sim/schedule_generator.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/sim/schedule_drawer.h
+++ b/src/sim/schedule_generator.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "core/random.h"
-#include "sim/loss_ledger.h"
-#include "sim/scenario_words.h"
+#include "sim/machine_loss_tracker.h"
+#include "sim/scenario_vocabulary.h"
 
 namespace peppergate {
 
--- a/src/sim/shrink.cc
+++ b/src/sim/schedule_shrinker.cc
@@ -1,4 +1,4 @@
-#include "sim/shrink.h"
+#include "sim/schedule_shrinker.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/sim/hollow_tables.cc
+++ b/src/sim/table_measurements.cc
@@ -5,7 +5,7 @@
 #include "core/digest.h"
 #include "core/engine_list.h"
 #include "core/prefix_index.h"
-#include "sim/hollow_measures.h"
+#include "sim/fleet_measurements.h"
 #include "wire/frame.h"
 
 namespace peppergate {
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <memory>
 
-#include "wire/body_bounds.h"
+#include "wire/body_validation.h"
 #include "wire/json_fields.h"
 
 namespace peppergate {
--- a/tests/client_departure_test.cc
+++ b/tests/client_departure_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <string>
 
-#include "tests/http_path.h"
+#include "tests/router_harness.h"
 
 using namespace peppergate;
 
--- a/tests/config_cores_test.cc
+++ b/tests/config_replication_test.cc
@@ -1,6 +1,6 @@
 // Changes and reads of the fleet's configuration in a fleet of three cores and a router, on a
 // network without delay.
-#include "tests/config_machines.h"
+#include "tests/config_test_fleet.h"
 
 using namespace peppergate;
 
--- a/tests/consensus_test.cc
+++ b/tests/consensus_test.cc
@@ -1,6 +1,6 @@
 // Votes, leases and replicas of one core, step by step, with slow disks, delayed messages and power
 // losses between writes.
-#include "tests/one_core.h"
+#include "tests/core_harness.h"
 
 using namespace peppergate;
 
--- a/tests/disk_power_test.cc
+++ b/tests/disk_power_test.cc
@@ -9,7 +9,7 @@
 #include <optional>
 #include <set>
 
-#include "io/disk_task.h"
+#include "io/disk_writer.h"
 #include "sim/sim_disk.h"
 #include "tests/testing.h"
 
--- a/tests/disk_test.cc
+++ b/tests/disk_writer_test.cc
@@ -1,6 +1,6 @@
 // Durable file writes: the order of the file system calls, a failure of each of them, and a power
 // loss between two of them.
-#include "io/disk_task.h"
+#include "io/disk_writer.h"
 
 #include <errno.h>
 #include <fcntl.h>
--- a/tests/engines_lister_test.cc
+++ b/tests/engine_discovery_test.cc
@@ -1,11 +1,11 @@
 // Engine discovery in a small simulated fleet: staleness, cost and failover of the polling node.
-#include "engines/lister.h"
+#include "engines/engine_discovery.h"
 
 #include <algorithm>
 #include <functional>
 #include <memory>
 
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/engines_book_test.cc
+++ b/tests/engine_registry_test.cc
@@ -1,6 +1,6 @@
 // Outlier detection and load estimates of the engine registry: which engines are ejected, how many
 // at once, and how they return.
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/loop_lag_test.cc
+++ b/tests/event_loop_lag_test.cc
@@ -1,6 +1,6 @@
-#include "io/loop_lag.h"
+#include "io/event_loop_lag.h"
 
-#include "core/fleet_pace.h"
+#include "core/broadcast_interval.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/fetch_plan_test.cc
+++ b/tests/fetch_plan_test.cc
@@ -1,6 +1,6 @@
 // The fetch plan against examples computed by hand, and its invariants with many random seeds.
 #include "core/fetch_plan.h"
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/fetch_desk_scale_test.cc
+++ b/tests/fetch_planner_scale_test.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <string>
 
-#include "core/fetch_desk.h"
+#include "core/fetch_planner.h"
 #include "core/random.h"
 #include "tests/testing.h"
 
--- a/tests/fuzz/targets_documents.cc
+++ b/tests/fuzz/targets_documents.cc
@@ -3,12 +3,12 @@
 #include "config/fleet_config.h"
 #include "core/control_state.h"
 #include "core/core_node.h"
-#include "engines/roster_text.h"
+#include "engines/engine_list_codec.h"
 #include "platform/config_names.h"
 #include "platform/dialect.h"
-#include "platform/names.h"
+#include "platform/parsing.h"
 #include "platform/settings.h"
-#include "platform/text.h"
+#include "platform/wire_names.h"
 #include "tests/fuzz/targets.h"
 
 namespace peppergate::fuzz {
--- a/tests/fuzz/targets_http.cc
+++ b/tests/fuzz/targets_http.cc
@@ -2,11 +2,11 @@
 // pieces, and both must give the same result.
 #include <algorithm>
 
-#include "io/http_answer.h"
 #include "io/http_parse.h"
+#include "io/http_response.h"
 #include "io/web_client.h"
 #include "platform/dialect.h"
-#include "platform/names.h"
+#include "platform/wire_names.h"
 #include "tests/fuzz/targets.h"
 
 namespace peppergate::fuzz {
--- a/tests/http_schedule_clients_test.cc
+++ b/tests/http_schedule_clients_test.cc
@@ -2,7 +2,7 @@
 // its response.
 #include <cstdio>
 
-#include "tests/http_path.h"
+#include "tests/router_harness.h"
 
 using namespace peppergate;
 
--- a/tests/http_schedule_test.cc
+++ b/tests/http_schedule_test.cc
@@ -4,8 +4,8 @@
 
 #include <cstdio>
 
-#include "tests/http_path.h"
-#include "tests/socket_script.h"
+#include "tests/router_harness.h"
+#include "tests/socket_fault_injector.h"
 
 using namespace peppergate;
 
--- a/tests/http_testing.h
+++ b/tests/http_testing.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "io/dialect.h"
+#include "io/event_loop.h"
 #include "io/http_parse.h"
-#include "io/loop.h"
-#include "io/member_hub.h"
+#include "io/member_transport.h"
 #include "tests/testing.h"
 
 namespace peppergate {
--- a/tests/hollow_test.cc
+++ b/tests/measurement_fleet_test.cc
@@ -1,5 +1,5 @@
 // Tests of the fleet for cost measurements: it forms, applies changes and detects stopped members.
-#include "sim/hollow_measures.h"
+#include "sim/fleet_measurements.h"
 #include "sim/runner.h"
 #include "sim/world.h"
 #include "tests/testing.h"
--- a/tests/member_schedule_test.cc
+++ b/tests/member_transport_faults_test.cc
@@ -4,9 +4,9 @@
 
 #include <cstdio>
 
-#include "io/member_hub.h"
+#include "io/member_transport.h"
 #include "tests/http_testing.h"
-#include "tests/socket_script.h"
+#include "tests/socket_fault_injector.h"
 
 using namespace peppergate;
 
--- a/tests/place_test.cc
+++ b/tests/placement_solver_test.cc
@@ -1,6 +1,6 @@
 // The placement solver: solutions satisfy every constraint, and a conflict names the constraints
 // that contradict each other.
-#include "place/place.h"
+#include "place/placement_solver.h"
 
 #include "tests/testing.h"
 
--- a/tests/prompts_placement_test.cc
+++ b/tests/placement_test.cc
@@ -5,9 +5,9 @@
 #include <set>
 
 #include "core/engine_list.h"
+#include "prompts/cache_salt.h"
 #include "prompts/cost.h"
 #include "prompts/fetch_setup.h"
-#include "prompts/salt.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/platform_words_test.cc
+++ b/tests/platform_names_test.cc
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "platform/names.h"
+#include "platform/wire_names.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/platform_operators_test.cc
+++ b/tests/platform_operators_test.cc
@@ -2,7 +2,7 @@
 #include "core/random.h"
 #include "platform/config_names.h"
 #include "platform/dialect.h"
-#include "platform/names.h"
+#include "platform/wire_names.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/prompts_index_test.cc
+++ b/tests/prefix_block_index_test.cc
@@ -1,9 +1,9 @@
 // The prefix block index (gaps, epochs, evictions, lookups) and the watcher that feeds it.
-#include "prompts/part_index.h"
+#include "prompts/prefix_block_index.h"
 
 #include "core/engine_list.h"
 #include "core/random.h"
-#include "prompts/part_watch.h"
+#include "prompts/prefix_cache_watcher.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
--- a/tests/fresh_number_test.cc
+++ b/tests/random_identity_test.cc
@@ -1,5 +1,5 @@
 // Generation of random identities, which must fail without a source of random bytes.
-#include "io/fresh_number.h"
+#include "io/random_identity.h"
 
 #include <cstring>
 
--- a/tests/reconfiguration_test.cc
+++ b/tests/reconfiguration_test.cc
@@ -3,7 +3,7 @@
 
 #include "core/core_node.h"
 #include "core/quorum.h"
-#include "tests/one_core.h"
+#include "tests/core_harness.h"
 
 using namespace peppergate;
 
--- a/tests/config_orders_test.cc
+++ b/tests/repeated_changes_test.cc
@@ -1,7 +1,7 @@
 // Changes that operators repeat: one that was applied is acknowledged again or, once its record was
 // evicted, answered with "lost"; it is never refused.
 #include "core/control_state.h"
-#include "tests/config_machines.h"
+#include "tests/config_test_fleet.h"
 
 using namespace peppergate;
 
--- a/tests/requests_fakes.h
+++ b/tests/requests_fakes.h
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <set>
 
-#include "engines/engine_book.h"
+#include "engines/engine_registry.h"
 #include "prompts/placement.h"
-#include "requests/requests.h"
+#include "requests/request_router.h"
 #include "tests/testing.h"
 
 namespace peppergate {
--- a/tests/answer_times_test.cc
+++ b/tests/response_timer_test.cc
@@ -1,5 +1,5 @@
 // Classification of responses as in time or late, and by the target that a late one missed.
-#include "requests/answer_times.h"
+#include "requests/response_timer.h"
 
 #include "tests/testing.h"
 
--- a/tests/engines_rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -1,5 +1,5 @@
 // Weights rollouts over simulated engines: duration, concurrency and the handling of failures.
-#include "tests/engines_world.h"
+#include "tests/rollout_simulation.h"
 
 using namespace peppergate;
 
--- a/tests/http_path.cc
+++ b/tests/router_harness.cc
@@ -1,4 +1,4 @@
-#include "tests/http_path.h"
+#include "tests/router_harness.h"
 
 #include <charconv>
 
--- a/tests/schedules_test.cc
+++ b/tests/schedules_test.cc
@@ -6,11 +6,11 @@
 #include <set>
 #include <sstream>
 
-#include "sim/loss_ledger.h"
-#include "sim/mixed_day.h"
+#include "sim/machine_loss_tracker.h"
+#include "sim/mixed_schedule.h"
 #include "sim/router_scenario.h"
 #include "sim/scenario.h"
-#include "sim/shrink.h"
+#include "sim/schedule_shrinker.h"
 #include "sim/sim_network.h"
 #include "tests/testing.h"
 
--- a/tests/scripts_includes_test.py
+++ b/tests/scripts_includes_test.py
@@ -24,10 +24,10 @@
     "src/core/types.h": "#include <string>\n",
     "src/wire/frame.h": '#include "core/types.h"\n',
     "src/core/node.h": '#include "core/types.h"\n#include "wire/frame.h"\n',
-    "src/io/loop.cc": '#include "core/node.h"\n',
-    "platform/settings.cc": '#include "io/loop.h"\n#include "platform/settings.h"\n',
+    "src/io/event_loop.cc": '#include "core/node.h"\n',
+    "platform/settings.cc": '#include "io/event_loop.h"\n#include "platform/settings.h"\n',
     "platform/settings.h": "",
-    "src/io/loop.h": "",
+    "src/io/event_loop.h": "",
 }
 
 
@@ -43,32 +43,32 @@
         self.assertEqual(self.errors({}), [])
 
     def test_an_upward_include(self):
-        self.assertEqual(self.errors({"src/core/node.h": '#include "io/loop.h"\n'}),
-                         ["src/core/node.h (core) may not include src/io/loop.h (io)"])
+        self.assertEqual(self.errors({"src/core/node.h": '#include "io/event_loop.h"\n'}),
+                         ["src/core/node.h (core) may not include src/io/event_loop.h (io)"])
 
     def test_an_upward_include_with_blanks(self):
-        self.assertEqual(self.errors({"src/core/node.h": '  #  include  "io/loop.h"\n'}),
-                         ["src/core/node.h (core) may not include src/io/loop.h (io)"])
+        self.assertEqual(self.errors({"src/core/node.h": '  #  include  "io/event_loop.h"\n'}),
+                         ["src/core/node.h (core) may not include src/io/event_loop.h (io)"])
 
     def test_a_lower_module_includes_a_higher_one_in_its_folder(self):
         self.assertEqual(self.errors({"src/core/types.h": '#include "core/node.h"\n'})[0],
                          "src/core/types.h (base) may not include src/core/node.h (core)")
 
     def test_an_include_of_a_lower_module_that_is_not_allowed(self):
-        self.assertEqual(self.errors({"src/io/loop.h": '#include "wire/frame.h"\n'}),
-                         ["src/io/loop.h (io) may not include src/wire/frame.h (wire)"])
+        self.assertEqual(self.errors({"src/io/event_loop.h": '#include "wire/frame.h"\n'}),
+                         ["src/io/event_loop.h (io) may not include src/wire/frame.h (wire)"])
 
     def test_a_folder_without_a_module(self):
         self.assertEqual(self.errors({"src/extra/new.h": ""}),
                          ["src/extra/new.h: belongs to no module of the table"])
 
     def test_a_relative_include(self):
-        self.assertEqual(self.errors({"src/io/loop.h": '#include "../core/node.h"\n'}),
-                         ['src/io/loop.h: "../core/node.h" is no file below src or the root'])
+        self.assertEqual(self.errors({"src/io/event_loop.h": '#include "../core/node.h"\n'}),
+                         ['src/io/event_loop.h: "../core/node.h" is no file below src or the root'])
 
     def test_an_include_of_a_missing_file(self):
-        self.assertEqual(self.errors({"src/io/loop.h": '#include "loop_types.h"\n'}),
-                         ['src/io/loop.h: "loop_types.h" is no file below src or the root'])
+        self.assertEqual(self.errors({"src/io/event_loop.h": '#include "loop_types.h"\n'}),
+                         ['src/io/event_loop.h: "loop_types.h" is no file below src or the root'])
 
     def test_a_cycle_within_a_module(self):
         errors = self.errors({"src/io/a.h": '#include "io/b.h"\n', "src/io/b.h": '#include "io/a.h"\n'})
--- a/tests/scripts_judge_test.py
+++ b/tests/scripts_judge_test.py
@@ -8,7 +8,7 @@
 
 UNITS = """TEST(Wire, RoundTrip) - 1 ms
 TEST(Disk, Torn)
-tests/disk_test.cc:12: error: Failure in TEST(Disk, Torn)
+tests/disk_writer_test.cc:12: error: Failure in TEST(Disk, Torn)
 \texpected <1>
 
  - 3 ms
--- a/tests/socket_script.cc
+++ b/tests/socket_fault_injector.cc
@@ -1,4 +1,4 @@
-#include "tests/socket_script.h"
+#include "tests/socket_fault_injector.h"
 
 #include <dlfcn.h>
 #include <errno.h>
--- a/tests/weight_namings_test.cc
+++ b/tests/weight_target_history_test.cc
@@ -1,9 +1,9 @@
 // The history of target versions of weights, and what extends the grace time of older ones: leader
 // outages and restarts of control nodes.
-#include "engines/weight_namings.h"
+#include "engines/weight_target_history.h"
 
-#include "requests/core_lives.h"
-#include "requests/leader_silence.h"
+#include "requests/control_restart_detector.h"
+#include "requests/leader_outage.h"
 #include "tests/testing.h"
 
 using namespace peppergate;
