--- a/src/core/collaborators.h
+++ b/src/core/collaborators.h
@@ -15,6 +15,7 @@
 struct Shuffle;
 
 struct MembershipCollaborators {
+ protected:
   Random& random_;
   std::function<void(Shuffle&)> fillShuffle_{};
   explicit MembershipCollaborators(Random& random) : random_(random) {}
@@ -23,6 +24,7 @@
 };
 
 struct LeadershipCollaborators {
+ protected:
   Acceptor& acceptor_;
   Membership& membership_;
   Random& random_;
@@ -33,6 +35,7 @@
 };
 
 struct FollowerCollaborators {
+ protected:
   Membership& membership_;
   Random& random_;
   FollowerCollaborators(Membership& membership, Random& random)
@@ -42,6 +45,7 @@
 };
 
 struct ReadOnlyLeaderCollaborators {
+ protected:
   Acceptor& acceptor_;
   Leadership& leadership_;
   Membership& membership_;
@@ -59,6 +63,7 @@
 };
 
 struct OperatorHandlerCollaborators {
+ protected:
   Membership& membership_;
   Follower& follower_;
   OperatorHandlerCollaborators(Membership& membership, Follower& follower)
--- a/src/wire/frame.cc
+++ b/src/wire/frame.cc
@@ -180,9 +180,9 @@
 template <std::size_t... Indexes>
 bool bodyFitsKind(std::size_t kind, std::span<const char> body, std::index_sequence<Indexes...>) {
   using Check = bool (*)(std::span<const char>);
-  constexpr std::array<Check, kKinds> checks{
+  constexpr std::array<Check, kKinds> kChecks{
       &bodyFits<std::variant_alternative_t<Indexes, Message>>...};
-  return checks[kind](body);
+  return kChecks[kind](body);
 }
 
 struct AvroType {
